--- a/features/callers/steps/faults.py
+++ b/features/callers/steps/faults.py
@@ -225,7 +225,7 @@
         now = revisions.view.configuration
         left = [item for item in now.targets if item.target != outcome.target]
         context.removed = outcome.target
-        revisions.offer(replace(now, revision=now.revision + 1, targets=left), "test")
+        revisions.adopt(replace(now, revision=now.revision + 1, targets=left), "test")
         return outcome
 
     dispatcher.admit = admit_and_remove
--- a/features/capacity/steps/scripted.py
+++ b/features/capacity/steps/scripted.py
@@ -16,7 +16,7 @@
 from lycheepost.generated.engine import EngineHealthState
 from lycheepost.operators.capacity_records import accepted_versions
 from lycheepost.standin.virtualtime import virtual_clock
-from lycheepost.state.revisions import make_revision_keeper
+from lycheepost.state.revisions import make_revision_manager
 
 
 class Calm:
@@ -53,7 +53,7 @@
         self.targets.clear()
         self._make_targets()
         self.judge = self._make_judge()
-        self.observer = make_revision_keeper(
+        self.observer = make_revision_manager(
             self.table, self.objects, virtual_clock(), poll_seconds=0.3
         )
         state = TargetDesiredState
--- a/features/operators/steps/world.py
+++ b/features/operators/steps/world.py
@@ -14,7 +14,7 @@
 from lycheepost.standin.objects import make_object_model
 from lycheepost.standin.table import make_table_model
 from lycheepost.standin.weightstore import make_weight_store_model
-from lycheepost.state.revisions import make_revision_keeper
+from lycheepost.state.revisions import make_revision_manager
 from lycheepost.utils.keys import hash_key
 
 OPERATOR_KEYS = {"ada": "lpo-ada", "ben": "lpo-ben"}
@@ -95,7 +95,7 @@
         return self.context.loop.run_until_complete(coroutine)
 
     def add_daemon(self):
-        keeper = make_revision_keeper(self.table, self.objects, self.clock)
+        keeper = make_revision_manager(self.table, self.objects, self.clock)
         settings = OperatorSettings(
             key_hashes=[hash_key(k) for k in OPERATOR_KEYS.values()]
         )
--- a/features/peers/steps/fleet_steps.py
+++ b/features/peers/steps/fleet_steps.py
@@ -8,7 +8,7 @@
 from lycheepost.decide.records import TargetState
 from lycheepost.standin.virtualtime import VirtualTimeLoop
 from lycheepost.state.addresses import MemberState
-from lycheepost.state.signs import health_sign
+from lycheepost.state.signals import health_signal
 
 SEED = 3
 TARGET = TargetId("target-1")
@@ -166,7 +166,7 @@
 @when("one daemon hears from a target that it leaves")
 def step_target_leaves(context):
     members = context.fleet.daemons[5].state.members
-    sign = health_sign(TargetState.LEAVING)
+    sign = health_signal(TargetState.LEAVING)
     context.loop.call_soon(
         members.observe_target, TARGET, sign, context.loop.now_seconds()
     )
--- a/features/peers/steps/socket_steps.py
+++ b/features/peers/steps/socket_steps.py
@@ -21,8 +21,8 @@
 from lycheepost.standin.table import make_table_model
 from lycheepost.standin.vmlist import make_vm_list_model
 from lycheepost.state.addresses import Member, MemberState
-from lycheepost.state.members import make_member_keeper
-from lycheepost.state.revisions import make_revision_keeper
+from lycheepost.state.members import make_member_manager
+from lycheepost.state.revisions import make_revision_manager
 
 EXCHANGE_SECONDS = 0.1
 
@@ -45,9 +45,9 @@
     clock = SystemClock()
     name = DaemonId(name)
     transport = make_socket_transport(name, keys=keys)
-    revisions = make_revision_keeper(make_table_model(), make_object_model(), clock)
+    revisions = make_revision_manager(make_table_model(), make_object_model(), clock)
     me = Member(name, f"{name}-1", MemberState.LIVE, AvailabilityZone("x"), "u", "")
-    members = make_member_keeper(
+    members = make_member_manager(
         make_vm_list_model(), clock, me, lambda: revisions.view
     )
     exchange = make_peer_exchange(
--- a/features/platform/steps/document_steps.py
+++ b/features/platform/steps/document_steps.py
@@ -35,7 +35,7 @@
 from lycheepost.platform.storewire import WireRows, encode_value
 from lycheepost.ports.feed import ChangedRow
 from lycheepost.state.targetlist import TargetList
-from lycheepost.state.watch import Seen
+from lycheepost.state.watch import TableUpdate
 from lycheepost.targets.cachewatch import (
     CLEARED,
     CacheNews,
@@ -191,7 +191,7 @@
 
 
 def seen(rows, is_whole=False):
-    return Seen(rows, is_whole, 1.0, None, False)
+    return TableUpdate(rows, is_whole, 1.0, None, False)
 
 
 @given("the entries of servers a, b and c are followed")
--- a/features/promises/steps/always_steps.py
+++ b/features/promises/steps/always_steps.py
@@ -137,7 +137,7 @@
                 await asyncio.sleep(0.01)
                 # A peer that was cut off passes on what it still holds.
                 for daemon in fleet.daemons:
-                    daemon.state.revisions.offer(old, "peer")
+                    daemon.state.revisions.adopt(old, "peer")
         await restarting
         await fleet.wait_for(lambda: set(fleet.revisions()) == {1 + n}, 4)
         watching.cancel()
--- a/features/state/claims.feature
+++ b/features/state/claims.feature
@@ -1,9 +1,9 @@
 Feature: A non-idempotent call runs at most once
 
   Scenario Outline: <event>: a resend through <daemon> is told <told>
-    A shopper's kiosk sends a print order, something fails, and the kiosk sends it
-    again through any daemon. A second run would print the order twice; a wrong
-    "not run" would make the kiosk give it up while it is being printed.
+    A client sends a print order, a failure occurs, and the client resends it through
+    any daemon. Running it twice would print the order twice; a wrong "not run" would
+    make the client abandon an order that is being printed.
 
     Given daemons A and B share a store
     When A takes an order and <event>
@@ -51,8 +51,8 @@
     Then each order is granted to exactly one of them
 
   Scenario: Claims that come together share transactions
-    The table takes a few hundred writes a second from the whole fleet.
-    Each claim alone would use one, and the next orders would wait for seconds.
+    The table allows a few hundred writes a second for the whole fleet. With one write
+    per claim, further orders would wait for seconds.
 
     Given daemons A and B share a store
     When A takes 300 different orders at the same time
--- a/features/state/environment.py
+++ b/features/state/environment.py
@@ -1,4 +1,4 @@
-"""One event loop per scenario; everything in it is closed afterwards."""
+"""Create one event loop per scenario, and close it with all its resources."""
 
 import asyncio
 import logging
--- a/features/state/leases.feature
+++ b/features/state/leases.feature
@@ -1,9 +1,9 @@
 Feature: One daemon at a time holds a duty
 
   Scenario: Daemons that pause, crash and lose answers give no order out of turn
-    A holder is paused, its lease runs out, another daemon begins; the first wakes,
-    going on with what it was about to send. An operator would see targets
-    switch back to what an old plan wanted.
+    A holder is paused, its lease expires and another daemon takes over. The first one
+    resumes and sends the order that it had prepared, which would switch targets back
+    to the state of an old plan.
 
     When 150 seeded runs of pauses, crashes, lost answers and races are made
     Then no target takes an order out of turn
@@ -11,8 +11,8 @@
     And every target ends in the state that the last holder wants
 
   Scenario: Without the look at the lease at each send the same runs show harm
-    This is the check of the check: the runs do reach the moment in which a paused
-    holder wakes, and targets that ignore fencing then obey the wrong holder.
+    Verifies the scenario above: the runs do include holders that resume after their
+    lease has expired, and targets that ignore fencing then obey the wrong holder.
 
     When 150 seeded runs are made by holders that trust their lease
     Then targets that ignore fencing take orders out of turn
@@ -22,7 +22,7 @@
     Given daemon A holds the duty for 10 seconds with a margin of 2
     When <event>
     Then daemon B gets the duty after <wait>
-    And daemon A may not send by then, nor later than 8 seconds after its last write
+    And daemon A may not send orders by then, nor later than 8 seconds after its last write
     And the fencing number has risen
 
     Examples:
@@ -33,21 +33,21 @@
       | A renews, then dies  | 12 seconds   |
 
   Scenario: A renewal that was lost earlier and is read back late prolongs nothing
-    A's renewal takes effect and its answer is lost. B waits that renewal out and
-    takes over. A tries again, is refused, reads the row, and the read is stale: it
-    shows A's own earlier renewal. Taken for the new one, A would hold again beside
-    B, and targets that ignore fencing would obey both.
+    A's renewal takes effect but the response is lost. B waits until it has expired and
+    takes over. A retries, is refused, and reads the row; the stale read shows A's own
+    earlier renewal. If A mistook it for the new one, A and B would both hold the
+    lease, and targets that ignore fencing would obey both.
 
     Given daemon A holds the duty for 10 seconds with a margin of 2
     When A loses the answer to a renewal and B takes over after it has run out
-    And A renews again and reads the row as it was
+    And A renews again and its read of the row is stale
     Then A does not hold the duty
 
   Scenario Outline: A duty whose holder dies is taken over in time, looked at every <watch> s
-    A holder renews every 0.8 s and dies. Whoever stands ready slept for a whole lease
-    between two looks, found the row moved once more, and waited for a lease anew:
-    new weights came in 12 s instead of 6, and callers were refused meanwhile.
-    Given a duty with a lease of 3.6 s and a margin of 1.65, looked at every <watch> s
+    A holder renews every 0.8 s and dies. A candidate that polls only once per lease
+    finds the row changed once more and waits for another full lease: new weights are
+    loaded after 12 s instead of 6, and callers are refused in the meantime.
+    Given a duty with a lease of 3.6 s and a margin of 1.65, polled every <watch> s
     When its holder dies, at eight different moments of its renewals
     Then another daemon has the duty after at least 5.2 s and at most <most> s
 
@@ -56,10 +56,10 @@
       | 0.7   | 6.1  |
 
   Scenario: A lease's row that cannot be read is nobody's, and ends no daemon's duty
-    Another release wrote it. Whoever took the lease over could order beside a
-    holder that it cannot see; a daemon that fell over it would never look again.
-    Given a lease whose row cannot be read
-    When a daemon stands ready for its duty for 20 s
-    Then it has not worked
+    The row was written by another release. Taking over the lease could result in two
+    holders; an unhandled exception would end the daemon's polling for good.
+    Given a lease whose row cannot be decoded
+    When a daemon is a candidate for its duty for 20 s
+    Then it has not done the duty's work
     When the row is removed
-    Then it works within 2 s
+    Then it does the duty's work within 2 s
--- a/features/state/members.feature
+++ b/features/state/members.feature
@@ -1,11 +1,11 @@
 Feature: The most pessimistic sign counts, and callers are told whom to use
 
   Scenario Outline: A target that operators want <desired>, with the signs <signs>, is <state>
-    The VM list says that a VM lives, and its engine says that it leaves.
-    New work sent there would be cut off, and the list may lag by several seconds.
+    The VM list reports a VM as live while its engine reports that it is leaving. New
+    work sent there would be aborted, and the list may lag by several seconds.
 
     Given a target that operators want <desired>
-    When the signs <signs> come in
+    When the signals <signs> arrive
     Then the target is <state>
 
     Examples:
@@ -41,26 +41,26 @@
       | a x leaving 0.1, b x gone 0.1              | a         |
 
   Scenario: Customers are spread over a large fleet by shuffle sharding
-    Each daemon keeps state for the customers that it serves. If every customer
-    used every daemon, that state and its messages would grow with the fleet.
+    Each daemon keeps state for the customers that it serves. If every customer used
+    every daemon, that state and the messages about it would grow with the fleet.
 
     Given 540 daemons in 9 zones
     When 990 customers ask for addresses
     Then each is given 8 daemons in at least 7 zones
     And no daemon is given to more than 40 customers
-    And without one daemon no other customer's daemons change but by one
+    And removing one daemon changes at most one daemon of its customers and none of the others
 
   Scenario: A daemon that others take for dead says that it lives
     Given daemons A and B that know each other
-    When B hears that A is suspected, and A hears it too
-    Then A says again that it lives, and B takes it for live
+    When B suspects A, and A is notified of it
+    Then A announces again that it is live, and B marks it live
 
   Scenario Outline: A daemon that was last <state> is <fate> after <hours> hours of silence
-    With 890 restarts a day under new names, members that are never forgotten would
-    fill memory and every list of members.
+    With 890 restarts a day under new names, members that are never removed would fill
+    memory and every list of members.
 
     Given daemons A and B that know each other
-    When B hears that A is <state> and then nothing for <hours> hours
+    When B is notified that A is <state> and then receives nothing for <hours> hours
     Then to B daemon A is <fate>
 
     Examples:
@@ -74,19 +74,19 @@
   Scenario: A daemon starts again on a VM whose clock is behind
     Given daemons A and B that know each other
     When A starts again with a clock that is an hour behind, and B suspects the old A
-    Then B takes the new A for live
+    Then B marks the new A live
 
   Scenario: Keys of the peers that cannot be read are waited for
-    Another release wrote them. A daemon that fell over them would stay alone for good;
-    one that wrote its own would cut off all the others.
-    Given keys of the peers that cannot be read
+    The keys were written by another release. A daemon that failed on them would never
+    connect to peers; one that replaced them would disconnect all others.
+    Given peer keys that cannot be decoded
     When a daemon loads them
-    Then it is told why, and has written none
+    Then it gets the reason and has written no keys
 
   Scenario: A member's row that cannot be read hides no other
-    Another release wrote its row, or it was damaged. A daemon that stopped looking
-    at the rows because of it would find no peer that starts later.
-    Given rows of the daemons "a" and "b", and one of "c" that cannot be read
-    When a daemon looks at the rows
+    The row was written by another release or is damaged. A daemon that stopped reading
+    the rows because of it would not find peers that start later.
+    Given rows of the daemons "a" and "b", and one of "c" that cannot be decoded
+    When a daemon reads the rows
     Then it finds "a" and "b"
     And it can write its own row over that of "c"
--- a/features/state/revisions.feature
+++ b/features/state/revisions.feature
@@ -1,9 +1,9 @@
 Feature: An accepted configuration is in force and never reverts
 
   Scenario Outline: A daemon restarts with <sources>: it serves from <first>, then only upwards
-    A VM is replaced and the daemon starts with nothing but its settings.
-    Callers must be served at once from whatever answers, and a source that is
-    behind must never take the daemon back.
+    A daemon on a replaced VM starts with only its settings. It must serve callers at
+    once from whichever source responds, and a source that is behind must never revert
+    the daemon to an older revision.
 
     Given 6 accepted changes, of which a snapshot holds 4
     When a daemon with its own settings restarts with <sources>
@@ -19,9 +19,8 @@
       | nothing                 | 0        | settings |
 
   Scenario Outline: A change whose commit meets <fault> is <told> and in force <times>
-    An operator confirms a plan and the store's answer is lost.
-    Told "failed" they would confirm again; told "done" wrongly they would walk
-    away from a change that is nowhere.
+    An operator confirms a plan and the store's response is lost. A wrong "failed" would
+    make the operator confirm again; a wrong "done" would hide that nothing changed.
 
     Given an accepted configuration
     When a change is committed and the store shows <fault>
@@ -48,9 +47,9 @@
     Then a daemon that starts from the table has all 12000 targets
 
   Scenario: Deltas covered by a snapshot are removed, and a paused writer harms nothing
-    A holder of the snapshot duty is paused, another takes over, and the first goes
-    on with an old head. Daemons that start later need every delta after the
-    snapshot which the head names.
+    A holder of the snapshot duty is paused, another takes over, and the first continues
+    with an outdated head. Daemons that start later need every delta after the snapshot
+    that the head names.
 
     Given 6 accepted changes, of which a snapshot holds 4
     When 20 more changes are accepted with a snapshot every 4
--- a/features/state/steps/adoption_steps.py
+++ b/features/state/steps/adoption_steps.py
@@ -12,7 +12,7 @@
 from lycheepost.ports.table import OutcomeUnknown, TableUnavailable
 from lycheepost.standin.rowstore import RowStore
 from lycheepost.standin.virtualtime import VirtualTimeLoop
-from lycheepost.state.routing import RoutingKeeper
+from lycheepost.state.routing import RoutingManager
 from lycheepost.state.watch import Watch
 
 LIMITS = CallerLimits(1, 1, 1.0, 1.0)
@@ -32,36 +32,38 @@
     context.steps = []
     for seed in range(n_runs(n)):
         rng = random.Random(seed)
-        keeper = RoutingKeeper()
+        manager = RoutingManager()
         highest, before = 0, 0
         for _ in range(30):
             version = rng.randint(1, 20)
             source = rng.choice(("store", "peer"))
-            keeper.adopt(make_table(version), source)
+            manager.adopt(make_table(version), source)
             highest = max(highest, version)
-            confirmed = keeper.confirmed_seconds
-            told = rng.randint(1, 20)
-            keeper.confirm(told, rng.uniform(0.0, 100.0))
-            has_moved = keeper.confirmed_seconds != confirmed
-            found = keeper.table.version
-            context.steps.append((seed, before, found, highest, told, has_moved))
+            confirmed = manager.confirmed_seconds
+            confirmed_version = rng.randint(1, 20)
+            manager.confirm(confirmed_version, rng.uniform(0.0, 100.0))
+            has_moved = manager.confirmed_seconds != confirmed
+            found = manager.table.version
+            context.steps.append(
+                (seed, before, found, highest, confirmed_version, has_moved)
+            )
             before = found
 
 
-@then("the version in force never falls and is the highest that came")
+@then("the version in force never decreases and is the highest one received")
 def step_upward(context):
-    for seed, before, found, highest, _told, _moved in context.steps:
+    for seed, before, found, highest, _confirmed_version, _moved in context.steps:
         assert found >= before and found == highest, seed
 
 
 @then("a confirmation counts only for the version in force")
 def step_confirmed(context):
-    for seed, _before, found, _highest, told, has_moved in context.steps:
-        assert not has_moved or told == found, seed
+    for seed, _before, found, _highest, confirmed_version, has_moved in context.steps:
+        assert not has_moved or confirmed_version == found, seed
 
 
 class FaultyFeed:
-    """A feed over a row store that fails and forgets as its seed says."""
+    """A feed over a row store that fails and drops history, as seeded."""
 
     def __init__(self, store, rng, clock):
         self.store, self.rng, self.clock = store, rng, clock
@@ -96,17 +98,19 @@
     known = {}
     history = [(loop.now_seconds(), 0)]
 
-    def on_seen(seen):
+    def on_update(seen):
         if seen.is_whole:
             known.clear()
         for row in seen.rows:
             known[row.key] = row.value
-        # Everything that was accepted before the confirmed time must be known.
+        # All changes accepted before the confirmed time must be known.
         accepted = [n for at, n in history if at <= seen.confirmed_seconds]
         if int(known.get("config", b"0")) < accepted[-1]:
             wrong.append(seed)
 
-    watch = Watch(FaultyFeed(store, rng, loop), TABLE, loop, lambda: 1.0, on_seen, seed)
+    watch = Watch(
+        FaultyFeed(store, rng, loop), TABLE, loop, lambda: 1.0, on_update, seed
+    )
     await watch.start()
     for number in range(1, 40):
         await asyncio.sleep(rng.uniform(0.0, 0.8))
@@ -134,6 +138,6 @@
     assert all(context.ended), [i for i, ok in enumerate(context.ended) if not ok]
 
 
-@then("what it took for confirmed was true at that time")
+@then("what it reported as confirmed was true at that time")
 def step_true(context):
     assert context.wrong == [], sorted(set(context.wrong))
--- a/features/state/steps/claim_steps.py
+++ b/features/state/steps/claim_steps.py
@@ -21,7 +21,7 @@
     Granted,
     StoredAnswer,
 )
-from lycheepost.state.claims import ClaimLimits, make_claim_keeper
+from lycheepost.state.claims import ClaimLimits, make_claim_manager
 from lycheepost.state.leases import Lease
 
 ANSWER = StoredAnswer(200, "application/json", b'{"ticket": 7}')
@@ -36,29 +36,29 @@
     context.objects = make_object_model(context.loop)
 
 
-def start_keeper(context, name, writes_per_second=1e4):
+def start_manager(context, name, writes_per_second=1e4):
     context.boots[name] = f"{name}-{len(context.started)}"
-    keeper = make_claim_keeper(
+    manager = make_claim_manager(
         context.store,
         context.objects,
         context.loop,
         DaemonId(name),
         ClaimLimits(
             wait_seconds=2.0,
-            most_writes_per_second=writes_per_second,
+            max_writes_per_second=writes_per_second,
         ),
         lambda owner, boot: context.boots.get(owner) == boot,
         context.boots[name],
         lambda: 1,
     )
-    context.keepers[name] = keeper
-    context.started.append(keeper)
-    context.closers.append(keeper.stop)
-    context.loop.run_until_complete(keeper.start())
+    context.managers[name] = manager
+    context.started.append(manager)
+    context.closers.append(manager.stop)
+    context.loop.run_until_complete(manager.start())
 
 
 def claim(context, name, key="order", body=1):
-    return context.keepers[name].claim(
+    return context.managers[name].claim(
         CustomerId("kiosks"),
         IdempotencyKey(key),
         BodyFingerprint(body),
@@ -69,29 +69,29 @@
 def name_outcome(context, outcome):
     if not isinstance(outcome, Success):
         return type(outcome.failure()).__name__
-    told = outcome.unwrap()
-    if isinstance(told, Granted):
+    claim_outcome = outcome.unwrap()
+    if isinstance(claim_outcome, Granted):
         context.n_runs += 1
-    if isinstance(told, Answered):
-        assert told.answer == context.answer, "not the first answer"
-    return type(told).__name__
+    if isinstance(claim_outcome, Answered):
+        assert claim_outcome.answer == context.answer, "not the first answer"
+    return type(claim_outcome).__name__
 
 
 @given("daemons A and B share a store")
 def step_share(context):
     use_virtual_time(context)
-    context.keepers, context.boots, context.started = {}, {}, []
+    context.managers, context.boots, context.started = {}, {}, []
     context.n_runs = 0
     context.answer = None
-    start_keeper(context, "A")
-    start_keeper(context, "B")
+    start_manager(context, "A")
+    start_manager(context, "B")
 
 
 @given("a daemon whose share of the table is 1 write a second")
 def step_slow_share(context):
     use_virtual_time(context)
-    context.keepers, context.boots, context.started = {}, {}, []
-    start_keeper(context, "A", 1.0)
+    context.managers, context.boots, context.started = {}, {}, []
+    start_manager(context, "A", 1.0)
 
 
 @when("A takes an order and {event}")
@@ -125,7 +125,7 @@
         return
     granted = outcome.unwrap()
     context.n_runs += 1
-    keeper, faults = context.keepers["A"], context.store.faults
+    manager, faults = context.managers["A"], context.store.faults
     match event:
         case "answers it":
             context.answer = ANSWER
@@ -145,17 +145,17 @@
             context.answer = ANSWER
             faults.n_lost_answers = 1
         case "proves that it has not run":
-            await keeper.release(granted)
+            await manager.release(granted)
             context.n_runs -= 1
         case "loses the target while it runs":
-            await keeper.abandon(granted)
+            await manager.abandon(granted)
         case "dies while it runs":
-            await keeper.stop()
+            await manager.stop()
             del context.boots["A"]
         case "restarts while it runs":
-            await keeper.stop()
+            await manager.stop()
     if context.answer is not None:
-        await keeper.store_answer(granted, context.answer)
+        await manager.store_answer(granted, context.answer)
 
 
 def heal(context):
@@ -169,8 +169,8 @@
 
 @then("a resend through {name} is told {told}")
 def step_told(context, name, told):
-    if context.started and context.keepers["A"]._writer._task.done():
-        start_keeper(context, "A") if "A" in context.boots else None
+    if context.started and context.managers["A"]._writer._task.done():
+        start_manager(context, "A") if "A" in context.boots else None
     outcome = context.loop.run_until_complete(claim(context, name))
     found = name_outcome(context, outcome)
     assert found == told, found
--- a/features/state/steps/duty_steps.py
+++ b/features/state/steps/duty_steps.py
@@ -8,13 +8,13 @@
 from lycheepost.core.ids import DaemonId
 from lycheepost.ports.table import Condition, Transaction, Write
 from lycheepost.state.duties import DutyRunner
-from lycheepost.state.leases import LeaseKeeper
+from lycheepost.state.leases import LeaseManager
 
 PERIOD_SECONDS = 0.8
 
 
 def make_runner(context, name, length, margin, watch):
-    leases = LeaseKeeper(context.store, context.loop, DaemonId(name), length, margin)
+    leases = LeaseManager(context.store, context.loop, DaemonId(name), length, margin)
 
     async def work(current):
         lease = current()
@@ -28,7 +28,7 @@
 
 @given(
     "a duty with a lease of {length:g} s and a margin of {margin:g},"
-    " looked at every {watch:g} s"
+    " polled every {watch:g} s"
 )
 def step_duty(context, length, margin, watch):
     use_virtual_time(context)
@@ -36,7 +36,7 @@
 
 
 @when("its holder dies, at eight different moments of its renewals")
-def step_dies(context):
+def step_holder_dies(context):
     context.taken = [
         context.loop.run_until_complete(take_over(context, 10.0 + 0.6 * index))
         for index in range(8)
@@ -44,14 +44,14 @@
 
 
 async def take_over(context, alive_seconds):
-    """Return how long after its holder's death the duty was taken over."""
+    """Return the time from the holder's death to the takeover of the duty."""
     context.worked = {}
     first, second = (make_runner(context, name, *context.terms) for name in "AB")
     await first.start()
     await asyncio.sleep(0.1)
     await second.start()
     await asyncio.sleep(alive_seconds)
-    # Dies: it neither renews nor releases.
+    # The holder dies: it neither renews nor releases the lease.
     first._task.cancel()
     died_seconds = context.loop.now_seconds()
     await asyncio.sleep(20.0)
@@ -61,13 +61,13 @@
 
 @then("another daemon has the duty after at least {least:g} s and at most {most:g} s")
 def step_taken(context, least, most):
-    # The last renewal lies up to one period and its jitter before the death.
+    # The last renewal is up to one period plus jitter before the death.
     assert min(context.taken) >= least - 1.1 * PERIOD_SECONDS, context.taken
     assert max(context.taken) <= most, context.taken
 
 
 def write_row(context, value):
-    """Write the duty's row over what stands there."""
+    """Overwrite the duty's row."""
     (row,) = context.loop.run_until_complete(
         context.store.read(("lease/duty",))
     ).unwrap()
@@ -76,14 +76,14 @@
     context.loop.run_until_complete(context.store.commit(transaction)).unwrap()
 
 
-@given("a lease whose row cannot be read")
+@given("a lease whose row cannot be decoded")
 def step_unreadable(context):
     use_virtual_time(context)
     write_row(context, b'{"held_by": "another release"}')
     context.worked = {}
 
 
-@when("a daemon stands ready for its duty for {seconds:g} s")
+@when("a daemon is a candidate for its duty for {seconds:g} s")
 def step_ready(context, seconds):
     context.runner = make_runner(context, "A", 3.6, 1.65, 0.7)
     context.closers.append(context.runner.stop)
@@ -91,7 +91,7 @@
     context.loop.run_until_complete(asyncio.sleep(seconds))
 
 
-@then("it has not worked")
+@then("it has not done the duty's work")
 def step_idle(context):
     assert context.worked == {}
 
@@ -102,7 +102,7 @@
     context.removed_seconds = context.loop.now_seconds()
 
 
-@then("it works within {seconds:g} s")
+@then("it does the duty's work within {seconds:g} s")
 def step_works(context, seconds):
     context.loop.run_until_complete(asyncio.sleep(seconds))
     assert context.worked["A"] - context.removed_seconds <= seconds
--- a/features/state/steps/holder_steps.py
+++ b/features/state/steps/holder_steps.py
@@ -12,7 +12,7 @@
 from lycheepost.standin.table import make_table_model
 from lycheepost.standin.virtualtime import VirtualTimeLoop
 from lycheepost.state.duties import DutyRunner
-from lycheepost.state.leases import LeaseKeeper
+from lycheepost.state.leases import LeaseManager
 
 LENGTH_SECONDS, MARGIN_SECONDS, REST_SECONDS = 3.6, 1.65, 3.3
 PERIOD_SECONDS, WATCH_SECONDS = 0.8, 0.7
@@ -22,7 +22,7 @@
 
 @dataclass
 class Run:
-    """What one seeded run showed: when who ordered under which number."""
+    """Result of one seeded run: time, holder and fencing number of each order."""
 
     seed: int
     orders: list = field(default_factory=list)
@@ -31,11 +31,11 @@
 
 
 class Machine:
-    """One daemon that orders all the time while it may."""
+    """One daemon that sends orders continuously while it holds the lease."""
 
-    def __init__(self, run, name, table, clock, tell=lambda name, word: None):
+    def __init__(self, run, name, table, clock, notify=lambda name, report: None):
         self.run, self.name, self.clock = run, name, clock
-        leases = LeaseKeeper(
+        leases = LeaseManager(
             table, clock, DaemonId(name), LENGTH_SECONDS, MARGIN_SECONDS, REST_SECONDS
         )
         self.leases = leases
@@ -50,10 +50,10 @@
             run.seed,
             WATCH_SECONDS,
             lambda: self.last_order_seconds,
-            on_held=lambda lease: tell(
-                name, lambda other: other.note_told("weights", lease.version)
+            on_held=lambda lease: notify(
+                name, lambda other: other.note_renewed("weights", lease.version)
             ),
-            on_released=lambda _: tell(
+            on_released=lambda _: notify(
                 name, lambda other: other.note_released("weights")
             ),
         )
@@ -108,27 +108,31 @@
             faults.is_down = True
 
 
-def make_tell(machines, loop, seed):
-    """Return how a holder's word reaches the others: late, or not at all."""
+def make_notify(machines, loop, seed):
+    """Return a function that delivers a holder's report late, or not at all."""
     rng = random.Random(seed)
 
-    def tell(name, word):
+    def notify(name, report):
         for other in NAMES:
             if other == name or rng.random() < 0.2:
                 continue
             delay_seconds = rng.choice((0.001, 0.001, 0.3, 2.0))
-            loop.call_later(delay_seconds, lambda to=other: word(machines[to].leases))
+            loop.call_later(delay_seconds, lambda to=other: report(machines[to].leases))
 
-    return tell
+    return notify
 
 
-async def chaos(run, loop, seconds, tells=False):
+async def chaos(run, loop, seconds, reports_renewals=False):
     rng = random.Random(run.seed)
     table = make_table_model(loop)
     machines = {}
-    tell = make_tell(machines, loop, run.seed) if tells else lambda name, word: None
+    notify = (
+        make_notify(machines, loop, run.seed)
+        if reports_renewals
+        else lambda name, report: None
+    )
     for name in NAMES:
-        machines[name] = Machine(run, name, table, loop, tell)
+        machines[name] = Machine(run, name, table, loop, notify)
     for machine in machines.values():
         await machine.start()
     end_seconds = loop.now_seconds() + seconds
@@ -141,7 +145,7 @@
         else:
             await machines[name].stop()
         await asyncio.sleep(rng.uniform(0.0, 1.0))
-        machines[name] = Machine(run, name, table, loop, tell)
+        machines[name] = Machine(run, name, table, loop, notify)
         await machines[name].start()
     for machine in machines.values():
         machine.kill()
@@ -159,11 +163,11 @@
 
 @when(
     "{n:d} seeded runs of {seconds:d} s are made with three daemons "
-    "that tell each other"
+    "that report renewals to each other"
 )
-def step_telling_runs(context, n, seconds):
+def step_reporting_runs(context, n, seconds):
     seeds = range(int(os.environ.get("LYCHEEPOST_RUNS", n)))
-    make_runs(context, seeds, seconds, tells=True)
+    make_runs(context, seeds, seconds, reports_renewals=True)
 
 
 def count_reads(table):
@@ -183,13 +187,13 @@
     reads = count_reads(table)
     machines = {}
 
-    def tell(name, word):
+    def notify(name, report):
         for other in NAMES:
             if other != name:
-                loop.call_later(0.001, lambda to=other: word(machines[to].leases))
+                loop.call_later(0.001, lambda to=other: report(machines[to].leases))
 
     for name in NAMES:
-        machines[name] = Machine(run, name, table, loop, tell)
+        machines[name] = Machine(run, name, table, loop, notify)
         await machines[name].start()
     await asyncio.sleep(4.0)
     reads.clear()
@@ -203,7 +207,7 @@
         machine.kill()
 
 
-@when("the holder dies of three daemons that tell each other")
+@when("the holder among three daemons that report renewals to each other dies")
 def step_lose_holder(context):
     loop = VirtualTimeLoop()
     context.run = Run(0)
@@ -211,7 +215,7 @@
     loop.close()
 
 
-@then("another orders within {seconds:g} s")
+@then("another daemon sends orders within {seconds:g} s")
 def step_taken_over(context, seconds):
     run = context.run
     after = [at for at, _, _ in run.orders if at > run.ended_seconds]
@@ -223,12 +227,12 @@
     assert context.run.reads_per_second < 1.0 / seconds, context.run.reads_per_second
 
 
-def make_runs(context, seeds, seconds, tells=False):
+def make_runs(context, seeds, seconds, reports_renewals=False):
     context.runs = []
     for seed in seeds:
         loop = VirtualTimeLoop()
         run = Run(seed)
-        loop.run_until_complete(chaos(run, loop, seconds, tells))
+        loop.run_until_complete(chaos(run, loop, seconds, reports_renewals))
         loop.close()
         context.runs.append(run)
 
@@ -274,7 +278,7 @@
     for index in range(int(seconds / gap_seconds)):
         name = NAMES[index % len(NAMES)]
         holders = [item for item in NAMES if machines[item].holds()]
-        # The one that holds the lease is stopped, also while it rests.
+        # The holder of the lease is stopped, also during its pause.
         name = holders[0] if holders else name
         await machines[name].stop()
         await asyncio.sleep(gap_seconds)
--- a/features/state/steps/lease_steps.py
+++ b/features/state/steps/lease_steps.py
@@ -6,7 +6,7 @@
 
 from lycheepost.bench.leasechaos import measure_case
 from lycheepost.core.ids import DaemonId
-from lycheepost.state.leases import LeaseKeeper
+from lycheepost.state.leases import LeaseManager
 
 
 @when("{n:d} seeded runs of pauses, crashes, lost answers and races are made")
@@ -51,13 +51,13 @@
 def step_holds(context, length, margin):
     use_virtual_time(context)
     context.a, context.b = (
-        LeaseKeeper(context.store, context.loop, DaemonId(name), length, margin)
+        LeaseManager(context.store, context.loop, DaemonId(name), length, margin)
         for name in "AB"
     )
     context.lease = context.loop.run_until_complete(context.a.acquire("duty")).unwrap()
     context.written_seconds = context.loop.now_seconds()
-    first_look = context.loop.run_until_complete(context.b.acquire("duty"))
-    assert first_look.failure().holder == "A"
+    first_attempt = context.loop.run_until_complete(context.b.acquire("duty"))
+    assert first_attempt.failure().holder == "A"
 
 
 @when("A dies")
@@ -91,7 +91,10 @@
     context.taken = context.loop.run_until_complete(context.b.acquire("duty")).unwrap()
 
 
-@then("daemon A may not send by then, nor later than 8 seconds after its last write")
+@then(
+    "daemon A may not send orders by then, nor later than 8 seconds after its last"
+    " write"
+)
 def step_may_not(context):
     assert context.lease.is_held(context.written_seconds + 7.9)
     assert not context.lease.is_held(context.written_seconds + 8.1)
@@ -117,7 +120,7 @@
     context.taken = context.loop.run_until_complete(context.b.acquire("duty")).unwrap()
 
 
-@when("A renews again and reads the row as it was")
+@when("A renews again and its read of the row is stale")
 def step_stale_renewal(context):
     context.store.faults.n_stale_reads = 1
     context.renewed = context.loop.run_until_complete(context.a.renew(context.lease))
--- a/features/state/steps/machines.py
+++ b/features/state/steps/machines.py
@@ -1,4 +1,4 @@
-"""Stateful tests: hypothesis draws what happens, the models judge the outcome."""
+"""Stateful tests: hypothesis draws the events, and models check the outcome."""
 
 import asyncio
 import itertools
@@ -27,10 +27,10 @@
     Granted,
     StoredAnswer,
 )
-from lycheepost.state.claims import ClaimLimits, make_claim_keeper
+from lycheepost.state.claims import ClaimLimits, make_claim_manager
 from lycheepost.state.errors import CommitUnknown
-from lycheepost.state.leases import LeaseKeeper
-from lycheepost.state.revisions import make_revision_keeper
+from lycheepost.state.leases import LeaseManager
+from lycheepost.state.revisions import make_revision_manager
 from lycheepost.state.snapshots import SnapshotWork
 
 SETTINGS = settings(
@@ -52,7 +52,7 @@
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """A store in virtual time with faults drawn between the steps."""
+    """A store in virtual time, with faults drawn between steps."""
 
     def __init__(self):
         super().__init__()
@@ -92,7 +92,7 @@
         self.store.faults.clear()
 
     def recover(self):
-        """End every fault, also one that is about to begin, and let all settle."""
+        """End all faults, including ones about to begin, and wait for retries."""
         self.run(asyncio.sleep(0.1))
         self.heal()
         self.run(asyncio.sleep(30))
@@ -109,12 +109,12 @@
 
 
 class ClaimMachine(StoreMachine):
-    """Orders sent through three daemons that crash and meet every fault."""
+    """Orders sent through three daemons that crash and are exposed to all faults."""
 
     def __init__(self):
         super().__init__()
         self.boots = {}
-        self.keepers = {}
+        self.managers = {}
         self.ran = {}
         self.answers = {}
         self.open = []
@@ -126,27 +126,27 @@
     def boot(self, number):
         boot = f"boot-{next(self.numbers)}"
         self.boots[DaemonId(f"d{number}")] = boot
-        keeper = make_claim_keeper(
+        manager = make_claim_manager(
             self.store,
             self.objects,
             self.loop,
             DaemonId(f"d{number}"),
-            ClaimLimits(wait_seconds=2.0, most_writes_per_second=1e7),
+            ClaimLimits(wait_seconds=2.0, max_writes_per_second=1e7),
             lambda owner, owner_boot: self.boots.get(owner) == owner_boot,
             boot,
         )
-        self.keepers[number] = keeper
-        self.run(keeper.start())
+        self.managers[number] = manager
+        self.run(manager.start())
 
-    async def claim(self, number, key, body, patience_seconds):
-        claim = self.keepers[number].claim(
+    async def claim(self, number, key, body, timeout_seconds):
+        claim = self.managers[number].claim(
             CustomerId("c"),
             IdempotencyKey(f"k{key}"),
             BodyFingerprint(body),
             RequestId("r"),
         )
         try:
-            return number, await asyncio.wait_for(claim, patience_seconds)
+            return number, await asyncio.wait_for(claim, timeout_seconds)
         except TimeoutError:
             return number, None
 
@@ -154,13 +154,13 @@
         key=KEYS,
         body=BODIES,
         senders=st.lists(DAEMONS, min_size=1, max_size=3),
-        patience_seconds=st.sampled_from([0.2, 30.0]),
+        timeout_seconds=st.sampled_from([0.2, 30.0]),
         then=st.sampled_from(["run", "answer", "release", "abandon", "keep"]),
     )
-    def send(self, key, body, senders, patience_seconds, then):
+    def send(self, key, body, senders, timeout_seconds, then):
         async def send_all():
             return await asyncio.gather(
-                *(self.claim(n, key, body, patience_seconds) for n in senders)
+                *(self.claim(n, key, body, timeout_seconds) for n in senders)
             )
 
         for number, outcome in self.run(send_all()):
@@ -172,7 +172,7 @@
             case Granted() as granted:
                 assert key not in self.ran, "a second run"
                 self.ran[key] = body
-                self.open.append((number, key, granted, self.keepers[number]))
+                self.open.append((number, key, granted, self.managers[number]))
                 self.end(len(self.open) - 1, then)
             case Answered(answer):
                 assert self.answers.get(key) == answer, "not the first answer"
@@ -185,28 +185,28 @@
             self.end(index, then)
 
     def end(self, index, then):
-        number, key, granted, keeper = self.open[index]
+        number, key, granted, manager = self.open[index]
         if then in ("run", "keep"):
             return
         self.open.pop(index)
-        if keeper is not self.keepers[number]:
+        if manager is not self.managers[number]:
             return
         match then:
             case "answer":
                 body = b"x" * (20_000 if key % 2 else 10) + str(index).encode()
                 self.answers[key] = StoredAnswer(200, "text/plain", body)
-                self.run(keeper.store_answer(granted, self.answers[key]))
+                self.run(manager.store_answer(granted, self.answers[key]))
             case "abandon":
-                self.run(keeper.abandon(granted))
+                self.run(manager.abandon(granted))
             case "release":
                 del self.ran[key]
-                self.run(keeper.release(granted))
+                self.run(manager.release(granted))
 
     @rule(number=DAEMONS)
     def crash(self, number):
-        # What it could not settle yet stays claimed for ever, and never runs.
-        self.in_doubt |= self.keepers[number].status()["n_unsettled"] > 0
-        self.run(self.keepers[number].stop())
+        # Claims not completed before the crash stay claimed and never run.
+        self.in_doubt |= self.managers[number].status()["n_unsettled"] > 0
+        self.run(self.managers[number].stop())
         self.boot(number)
 
     def teardown(self):
@@ -231,18 +231,18 @@
 
     def __init__(self):
         super().__init__()
-        self.keepers = {n: self.make(n) for n in range(3)}
+        self.managers = {n: self.make(n) for n in range(3)}
         self.leases = {}
         self.highest = 0
 
     def make(self, number):
-        return LeaseKeeper(self.store, self.loop, DaemonId(f"d{number}"), 6.0, 1.0)
+        return LeaseManager(self.store, self.loop, DaemonId(f"d{number}"), 6.0, 1.0)
 
     @rule(number=DAEMONS)
     def acquire(self, number):
         if number in self.leases:
             return
-        outcome = self.run(self.keepers[number].acquire("duty"))
+        outcome = self.run(self.managers[number].acquire("duty"))
         if isinstance(outcome, Success):
             lease = outcome.unwrap()
             assert lease.fencing_number > self.highest, "a fencing number again"
@@ -254,7 +254,7 @@
         lease = self.leases.get(number)
         if lease is None:
             return
-        outcome = self.run(self.keepers[number].renew(lease))
+        outcome = self.run(self.managers[number].renew(lease))
         if isinstance(outcome, Success):
             self.leases[number] = outcome.unwrap()
 
@@ -262,12 +262,12 @@
     def release(self, number):
         lease = self.leases.pop(number, None)
         if lease is not None:
-            self.run(self.keepers[number].release(lease))
+            self.run(self.managers[number].release(lease))
 
     @rule(number=DAEMONS)
     def crash(self, number):
         self.leases.pop(number, None)
-        self.keepers[number] = self.make(number)
+        self.managers[number] = self.make(number)
 
     @invariant()
     def at_most_one_holder(self):
@@ -277,19 +277,19 @@
 
 
 class RevisionMachine(StoreMachine):
-    """Three daemons whose operators race while peers pass revisions on."""
+    """Three daemons with concurrent commits while peers forward revisions."""
 
     def __init__(self):
         super().__init__()
         self.numbers = itertools.count(1)
         self.history = {}
-        self.keepers = {n: self.make(n) for n in range(3)}
+        self.managers = {n: self.make(n) for n in range(3)}
         self.seen = dict.fromkeys(range(3), 0)
         self.confirmed = 0
         self.refused = set()
 
     def make(self, number):
-        return make_revision_keeper(self.store, self.objects, self.loop, seed=number)
+        return make_revision_manager(self.store, self.objects, self.loop, seed=number)
 
     @rule(numbers=st.lists(DAEMONS, min_size=1, max_size=3), is_old=st.booleans())
     def commit(self, numbers, is_old):
@@ -306,50 +306,50 @@
                 self.refused.add(name)
 
     async def commit_one(self, number, is_old):
-        keeper = self.keepers[number]
-        before = keeper.accepted
+        manager = self.managers[number]
+        before = manager.accepted
         name = f"customer-{next(self.numbers)}"
         customers = [*before.customers, Customer(customer=name, key_hashes=[])]
         basis = max(0, before.revision - is_old)
         changed = replace(before, customers=customers)
-        return await keeper.commit(Revision(basis), changed), name
+        return await manager.commit(Revision(basis), changed), name
 
     def confirm(self, revision, name):
         self.confirmed = max(self.confirmed, revision)
-        holder = next(k for k in self.keepers.values() if k.revision >= revision)
+        holder = next(k for k in self.managers.values() if k.revision >= revision)
         names = [item.customer for item in holder.accepted.customers]
         assert names.count(name) == 1, "a confirmed change is missing"
 
     @rule(number=DAEMONS)
     def refresh(self, number):
-        self.run(self.keepers[number].refresh())
+        self.run(self.managers[number].refresh())
 
     @rule(giver=DAEMONS, taker=DAEMONS, is_whole=st.booleans())
     def pass_on(self, giver, taker, is_whole):
-        giver, taker = self.keepers[giver], self.keepers[taker]
+        giver, taker = self.managers[giver], self.managers[taker]
         deltas = giver.deltas_after(taker.revision)
         if is_whole or deltas is None:
-            taker.offer(giver.accepted, "peer")
+            taker.adopt(giver.accepted, "peer")
         else:
-            taker.offer_deltas(deltas, "peer")
+            taker.adopt_deltas(deltas, "peer")
 
     @rule(number=DAEMONS)
     def restart(self, number):
-        self.keepers[number] = self.make(number)
+        self.managers[number] = self.make(number)
         self.seen[number] = 0
 
     @rule(number=DAEMONS)
     def snapshot(self, number):
-        work = SnapshotWork(self.store, self.objects, self.keepers[number], every=2)
+        work = SnapshotWork(self.store, self.objects, self.managers[number], every=2)
         self.run(work.work(None))
 
     @invariant()
     def never_back_and_agreed(self):
-        for number, keeper in self.keepers.items():
-            assert keeper.revision >= self.seen[number], "went back"
-            self.seen[number] = keeper.revision
-            known = self.history.setdefault(keeper.revision, keeper.accepted)
-            assert known == keeper.accepted, "one revision, two contents"
+        for number, manager in self.managers.items():
+            assert manager.revision >= self.seen[number], "went back"
+            self.seen[number] = manager.revision
+            known = self.history.setdefault(manager.revision, manager.accepted)
+            assert known == manager.accepted, "one revision, two contents"
 
     def teardown(self):
         self.recover()
--- a/features/state/steps/member_steps.py
+++ b/features/state/steps/member_steps.py
@@ -18,14 +18,14 @@
 from lycheepost.standin.vmlist import make_vm_list_model
 from lycheepost.state.addresses import Member, MemberState, choose_addresses
 from lycheepost.state.memberrows import MemberRow, MemberRows
-from lycheepost.state.members import make_member_keeper
+from lycheepost.state.members import make_member_manager
 from lycheepost.state.peerkeys import StoredKeys, load_peer_keys
-from lycheepost.state.signs import (
-    SignSource,
-    TargetSign,
-    connected_sign,
-    health_sign,
-    refused_sign,
+from lycheepost.state.signals import (
+    SignalSource,
+    TargetSignal,
+    connected_signal,
+    health_signal,
+    refused_signal,
 )
 from lycheepost.state.view import make_view
 
@@ -47,7 +47,7 @@
 def make_members(context, name="me", configuration=None):
     view = make_view(configuration or Configuration(revision=0))
     vm_list = make_vm_list_model(context.loop)
-    return make_member_keeper(vm_list, context.loop, make_member(name), lambda: view)
+    return make_member_manager(vm_list, context.loop, make_member(name), lambda: view)
 
 
 @given("a target that operators want {desired}")
@@ -64,39 +64,39 @@
     context.members = make_members(context, configuration=configuration)
 
 
-@when("the signs {signs} come in")
-def step_signs(context, signs):
-    for sign in signs.split(", "):
-        take_sign(context, *sign.split())
+@when("the signals {signals} arrive")
+def step_signals(context, signals):
+    for signal in signals.split(", "):
+        observe_signal(context, *signal.split())
 
 
-def take_sign(context, source, said="", *_):
+def observe_signal(context, source, reported="", *_):
     now_seconds = context.loop.now_seconds()
-    match source, said:
+    match source, reported:
         case "none", _:
             return
         case "list", "absent":
-            context.members.take_list((), now_seconds)
+            context.members.apply_vm_list((), now_seconds)
         case "list", _:
             zone = AvailabilityZone("x")
-            vm = Vm(TARGET, VmRole.TARGET, VmState(said), zone, "127.0.0.1")
-            context.members.take_list((vm,), now_seconds)
+            vm = Vm(TARGET, VmRole.TARGET, VmState(reported), zone, "127.0.0.1")
+            context.members.apply_vm_list((vm,), now_seconds)
         case seconds, "seconds":
             context.loop.run_until_complete(asyncio.sleep(float(seconds)))
         case _:
-            sign = make_sign(source, TargetState(said))
-            context.members.observe_target(TARGET, sign, now_seconds)
+            signal = make_signal(source, TargetState(reported))
+            context.members.observe_target(TARGET, signal, now_seconds)
 
 
-def make_sign(source, state):
+def make_signal(source, state):
     match source:
         case "health":
-            return health_sign(state)
+            return health_signal(state)
         case "connection" if state is TargetState.GONE:
-            return refused_sign()
+            return refused_signal()
         case "connection":
-            return connected_sign()
-    return TargetSign(SignSource.PEER, state)
+            return connected_signal()
+    return TargetSignal(SignalSource.PEER, state)
 
 
 @then("the target is {state}")
@@ -150,7 +150,10 @@
     assert statistics.mean(counts.values()) > n / 4
 
 
-@then("without one daemon no other customer's daemons change but by one")
+@then(
+    "removing one daemon changes at most one daemon of its customers and none of the"
+    " others"
+)
 def step_without(context):
     rest = context.known[1:]
     gone = context.known[0].daemon
@@ -165,30 +168,30 @@
 def step_know(context):
     use_virtual_time(context)
     context.a, context.b = make_members(context, "A"), make_members(context, "B")
-    context.said = []
-    context.a.on_member(context.said.append)
-    context.b.hear(context.a.me())
+    context.published = []
+    context.a.on_member(context.published.append)
+    context.b.merge(context.a.me())
 
 
-@when("B hears that A is suspected, and A hears it too")
+@when("B suspects A, and A is notified of it")
 def step_suspected(context):
     context.b.suspect(DaemonId("A"), context.loop.now_seconds())
     suspected = context.b.get(DaemonId("A"))
     assert suspected.state is MemberState.SUSPECT
-    context.a.hear(suspected)
+    context.a.merge(suspected)
 
 
-@then("A says again that it lives, and B takes it for live")
+@then("A announces again that it is live, and B marks it live")
 def step_refuted(context):
-    assert len(context.said) == 1
-    assert context.b.hear(context.said[0])
+    assert len(context.published) == 1
+    assert context.b.merge(context.published[0])
     assert context.b.get(DaemonId("A")).state is MemberState.LIVE
 
 
-@when("B hears that A is {state} and then nothing for {hours:f} hours")
-@when("B hears that A is {state} and then nothing for {hours:d} hours")
+@when("B is notified that A is {state} and then receives nothing for {hours:f} hours")
+@when("B is notified that A is {state} and then receives nothing for {hours:d} hours")
 def step_silence(context, state, hours):
-    context.b.hear(replace(context.a.me(), state=MemberState(state), sequence=1))
+    context.b.merge(replace(context.a.me(), state=MemberState(state), sequence=1))
     for _ in range(int(hours * 60)):
         context.loop.run_until_complete(asyncio.sleep(60.1))
         context.b.members()
@@ -203,20 +206,20 @@
 @when("A starts again with a clock that is an hour behind, and B suspects the old A")
 def step_behind(context):
     old = replace(context.a.me(), sequence=1, started_wall_seconds=7200.0)
-    context.b.hear(old)
+    context.b.merge(old)
     fresh = replace(old, boot="new", sequence=0, started_wall_seconds=3600.0)
-    assert not context.b.hear(fresh)
+    assert not context.b.merge(fresh)
     context.b.suspect(DaemonId("A"), context.loop.now_seconds())
-    assert context.b.hear(fresh)
+    assert context.b.merge(fresh)
 
 
-@then("B takes the new A for live")
+@then("B marks the new A live")
 def step_new_live(context):
     known = context.b.get(DaemonId("A"))
     assert (known.boot, known.state) == ("new", MemberState.LIVE)
 
 
-@given("keys of the peers that cannot be read")
+@given("peer keys that cannot be decoded")
 def step_keys(context):
     use_virtual_time(context)
     context.damaged = b'{"keys": []}'
@@ -231,9 +234,9 @@
     context.found = context.loop.run_until_complete(made)
 
 
-@then("it is told why, and has written none")
-def step_told_why(context):
-    assert "cannot be read" in context.found.failure().reason
+@then("it gets the reason and has written no keys")
+def step_reason(context):
+    assert "cannot be decoded" in context.found.failure().reason
     read = context.store.read(("peer-keys",))
     (row,) = context.loop.run_until_complete(read).unwrap()
     assert row.value == context.damaged
@@ -243,7 +246,7 @@
     return MemberRow("x", "127.0.0.1", f"http://{name}", f"tcp://{name}", "b")
 
 
-@given('rows of the daemons "a" and "b", and one of "c" that cannot be read')
+@given('rows of the daemons "a" and "b", and one of "c" that cannot be decoded')
 def step_rows(context):
     use_virtual_time(context)
     context.rows = MemberRows(context.store)
@@ -255,8 +258,8 @@
     context.loop.run_until_complete(context.store.commit(transaction)).unwrap()
 
 
-@when("a daemon looks at the rows")
-def step_look(context):
+@when("a daemon reads the rows")
+def step_read_rows(context):
     context.found = context.loop.run_until_complete(context.rows.list_vms()).unwrap()
 
 
--- a/features/state/steps/revision_steps.py
+++ b/features/state/steps/revision_steps.py
@@ -9,7 +9,7 @@
 from lycheepost.core.ids import Revision
 from lycheepost.generated.configuration import Customer
 from lycheepost.state.revision_rows import REVISION_PREFIX, read_head
-from lycheepost.state.revisions import make_revision_keeper
+from lycheepost.state.revisions import make_revision_manager
 from lycheepost.state.snapshots import SnapshotWork
 
 
@@ -17,39 +17,39 @@
     return context.loop.run_until_complete(work)
 
 
-def make_keeper(context, fallback=None, seed=0):
-    return make_revision_keeper(
+def make_manager(context, fallback=None, seed=0):
+    return make_revision_manager(
         context.store, context.objects, context.loop, fallback=fallback, seed=seed
     )
 
 
-def add_customer(keeper, name):
-    before = keeper.accepted
+def add_customer(manager, name):
+    before = manager.accepted
     customers = [*before.customers, Customer(customer=name, key_hashes=[])]
-    return keeper.commit(
+    return manager.commit(
         Revision(before.revision), replace(before, customers=customers)
     )
 
 
 def count_in_force(context, name):
-    keeper = make_keeper(context)
-    assert isinstance(run(context, keeper.refresh()), Success)
-    return [item.customer for item in keeper.accepted.customers].count(name)
+    manager = make_manager(context)
+    assert isinstance(run(context, manager.refresh()), Success)
+    return [item.customer for item in manager.accepted.customers].count(name)
 
 
 @given("an accepted configuration")
 def step_accepted(context):
     use_virtual_time(context)
-    context.keeper = make_keeper(context)
-    assert run(context, add_customer(context.keeper, "first")) == Success(1)
+    context.manager = make_manager(context)
+    assert run(context, add_customer(context.manager, "first")) == Success(1)
 
 
 @given("6 accepted changes, of which a snapshot holds 4")
 def step_six(context):
     step_accepted(context)
-    work = SnapshotWork(context.store, context.objects, context.keeper, every=4)
+    work = SnapshotWork(context.store, context.objects, context.manager, every=4)
     for number in range(2, 7):
-        run(context, add_customer(context.keeper, f"c{number}"))
+        run(context, add_customer(context.manager, f"c{number}"))
         run(context, work.work(None))
     assert work.n_written == 1
 
@@ -60,7 +60,7 @@
     context.store.faults.is_down = not is_table_up
     context.objects.faults.is_down = "snapshot" not in sources
     fallback = make_configuration(3, 0)
-    context.fresh = make_keeper(context, fallback)
+    context.fresh = make_manager(context, fallback)
     context.seen = []
     context.fresh.subscribe(
         lambda view: context.seen.append(view.configuration.revision)
@@ -69,7 +69,7 @@
     context.closers.append(context.fresh.stop)
     if sources == "peers":
         context.loop.call_later(
-            0.01, context.fresh.offer, context.keeper.accepted, "peer A"
+            0.01, context.fresh.adopt, context.manager.accepted, "peer A"
         )
 
 
@@ -89,7 +89,7 @@
 @then("once all sources answer it serves revision 6 and has never gone back")
 def step_upward(context):
     heal(context)
-    context.fresh.offer(replace(context.keeper.accepted, revision=3), "peer late")
+    context.fresh.adopt(replace(context.manager.accepted, revision=3), "peer late")
     run(context, asyncio.sleep(5))
     assert context.fresh.revision == 6
     assert context.seen == sorted(set(context.seen)), context.seen
@@ -111,7 +111,7 @@
         case "answer lost, then down":
             faults.n_lost_answers = 1
             context.loop.call_later(0.01, setattr, faults, "is_down", True)
-    context.outcome = run(context, add_customer(context.keeper, "wanted"))
+    context.outcome = run(context, add_customer(context.manager, "wanted"))
 
 
 @then("the operator is told {told}")
@@ -130,12 +130,12 @@
 
 @when("two daemons commit different changes on the same basis at the same time")
 def step_race(context):
-    other = make_keeper(context)
+    other = make_manager(context)
     run(context, other.refresh())
 
     async def commit_both():
         return await asyncio.gather(
-            add_customer(context.keeper, "mine"), add_customer(other, "yours")
+            add_customer(context.manager, "mine"), add_customer(other, "yours")
         )
 
     context.outcomes = run(context, commit_both())
@@ -154,23 +154,23 @@
 @when("{n:d} targets are added in one change")
 def step_many_targets(context, n):
     changed = make_configuration(990, n)
-    outcome = run(context, context.keeper.commit(Revision(1), changed))
+    outcome = run(context, context.manager.commit(Revision(1), changed))
     assert outcome == Success(2), outcome
 
 
 @then("a daemon that starts from the table has all {n:d} targets")
 def step_has_all(context, n):
-    fresh = make_keeper(context)
+    fresh = make_manager(context)
     run(context, fresh.refresh())
     assert len(fresh.view.targets) == n
-    assert fresh.accepted == context.keeper.accepted
+    assert fresh.accepted == context.manager.accepted
 
 
 @when("20 more changes are accepted with a snapshot every 4")
 def step_twenty(context):
     context.old_head = run(context, read_head(context.store)).unwrap()
-    context.old = SnapshotWork(context.store, context.objects, context.keeper, 4)
-    writer = make_keeper(context)
+    context.old = SnapshotWork(context.store, context.objects, context.manager, 4)
+    writer = make_manager(context)
     work = SnapshotWork(context.store, context.objects, writer, every=4)
     run(context, writer.refresh())
     for number in range(20):
@@ -186,7 +186,7 @@
 
 @then("a daemon that starts from the table is at the newest revision")
 def step_newest(context):
-    fresh = make_keeper(context)
+    fresh = make_manager(context)
     run(context, fresh.refresh())
     assert fresh.accepted == context.newest
 
--- a/features/state/steps/stateful_steps.py
+++ b/features/state/steps/stateful_steps.py
@@ -8,6 +8,6 @@
     context.machine = MACHINES[part]
 
 
-@then("none breaks a promise")
+@then("no invariant is violated")
 def step_none_breaks(context):
     run_state_machine_as_test(context.machine, settings=SETTINGS)
--- a/features/state/steps/targetlist_steps.py
+++ b/features/state/steps/targetlist_steps.py
@@ -44,7 +44,7 @@
 def step_registered_starts(context, names, started_ms):
     step_registered(context, "nothing")
     targets = [make_target(name, "1", started_ms) for name in names_of(names)]
-    context.list.take_all(targets, False)
+    context.list.replace_all(targets, False)
 
 
 @given("registered targets {names}")
@@ -59,7 +59,7 @@
     context.list = TargetList(
         context.clock, on_views, lambda: WEIGHTS_SECONDS, leaving=context.leaving
     )
-    context.list.take_all([make_target(name) for name in names_of(names)], False)
+    context.list.replace_all([make_target(name) for name in names_of(names)], False)
 
 
 @when("{name} registers as leaving as started at {started_ms:d}")
@@ -68,18 +68,18 @@
     context.list.take([leaving], [], False)
 
 
-@when("an answer of {name} as started at {started_ms:d} says that it leaves")
+@when("a response of {name} as started at {started_ms:d} says that it is leaving")
 def step_says_leaving_start(context, name, started_ms):
     say_leaving(context, TargetStart(TargetId(name), started_ms))
 
 
-@when("an answer of {name} says that it leaves")
+@when("a response of {name} says that it is leaving")
 def step_says_leaving(context, name):
     say_leaving(context, context.list.get(TargetId(name)).start)
 
 
 def say_leaving(context, start):
-    """Note a word as the exchange does."""
+    """Record a response's report in the way that the exchange does."""
     if context.leaving.note(start):
         context.list.note_leaving(start)
 
@@ -94,15 +94,20 @@
     context.list.note_start(TargetStart(TargetId(name), started_ms))
 
 
-@when("something unusable is registered for {name}")
+@when("an unusable registration replaces that of {name}")
 def step_overwritten(context, name):
-    context.list.overwritten([TargetId(name)])
+    context.list.drop_unusable([TargetId(name)])
 
 
-@when("a peer tells that {name} as started at {started_ms:d} changes for {seconds:g} s")
+@when(
+    "a peer reports that {name} as started at {started_ms:d} changes its weights"
+    " for {seconds:g} s"
+)
 def step_peer_change(context, name, started_ms, seconds):
-    told = WeightsChange(TargetStart(TargetId(name), started_ms), MODEL, None, seconds)
-    message = TargetsChanging(changes=[to_message(told)])
+    change = WeightsChange(
+        TargetStart(TargetId(name), started_ms), MODEL, None, seconds
+    )
+    message = TargetsChanging(changes=[to_message(change)])
     context.list.note_changes(to_changes(message))
 
 
@@ -125,7 +130,7 @@
 @when("the registrations of {names} are gone as the store comes back")
 def step_gone(context, names):
     del names
-    context.list.take_all([], True)
+    context.list.replace_all([], True)
 
 
 @when("{seconds:g} s passes and {name} registers again")
@@ -140,24 +145,24 @@
     context.list.refresh()
 
 
-@when("{name} is said to change its weights for {seconds:g} s")
+@when("{name} is reported to change its weights for {seconds:g} s")
 def step_change(context, name, seconds):
     start = context.list.get(TargetId(name)).start
     context.list.note_changes((WeightsChange(start, MODEL, None, seconds),))
 
 
-@when("{name} answers with version {version}")
+@when("{name} responds with version {version}")
 def step_answers(context, name, version):
     context.list.note_weights(TargetId(name), MODEL, WeightsVersion(version))
 
 
-@when("version {version:d} is named and put into {name}")
+@when("version {version:d} is named and loaded by {name}")
 def step_named(context, version, name):
     context.list.want(MODEL, version, context.clock.now_seconds())
     context.list.note_weights(TargetId(name), MODEL, WeightsVersion("2"))
 
 
-@when("version {version:d} is found named at the start")
+@when("version {version:d} is found already named at startup")
 def step_found(context, version):
     context.list.want(MODEL, version, None)
 
@@ -167,8 +172,8 @@
     context.list.want(MODEL, version, context.clock.now_seconds())
 
 
-@when("a peer tells that old weights serve for {seconds:g} s")
-def step_told(context, seconds):
+@when("a peer reports that old weights may be served for {seconds:g} s")
+def step_reported(context, seconds):
     context.list.note_named(MODEL, 2, seconds)
 
 
@@ -191,7 +196,7 @@
     assert context.list.weights_of(TargetId(name), MODEL) == version
 
 
-@then("{name} is believed to be the start at {started_ms:d}")
+@then("the recorded start of {name} is {started_ms:d}")
 def step_start(context, name, started_ms):
     start = TargetStart(TargetId(name), started_ms)
     assert context.list.get(start.target).start == start
@@ -199,7 +204,7 @@
     assert view.incarnation == start.incarnation
 
 
-@then("{name} costs {seconds:g} s and {other} {others:g} s more")
+@then("the penalty is {seconds:g} s for {name} and {others:g} s for {other}")
 def step_penalty(context, name, seconds, other, others):
     found = {str(view.target): view.penalty_seconds for view in context.views}
     assert found == {name: seconds, other: others}, found
--- a/features/state/targetlist.feature
+++ b/features/state/targetlist.feature
@@ -1,5 +1,5 @@
 Feature: Which targets routed requests may use
-  No network: registrations, orders and answers are handed in, time is a fake clock.
+  No network: registrations, orders and responses are passed in; the clock is fake.
 
   Scenario: A target that leaves is not used any more
     Given registered targets a and b
@@ -12,39 +12,39 @@
     Then b may be used and a may not be sent to
 
   Scenario: A target whose answer says that it leaves is not used any more
-    Guards against a daemon that hears of a leaving only from the store.
+    Guards against a daemon that detects a leaving target only from the store.
     Given registered targets a and b
-    When an answer of a says that it leaves
+    When a response of a says that it is leaving
     Then b may be used and a may not be sent to
     When a registers with version 1
     Then b may be used and a may not be sent to
 
   Scenario: A target that said that it leaves is not used when its registration is back
-    Guards against a word that is forgotten with the registration.
+    Guards against removing the record of leaving together with the registration.
     Given registered targets a and b
-    When an answer of a says that it leaves
+    When a response of a says that it is leaving
     And the registration of a is removed
     And a registers with version 1
     Then b may be used and a may not be sent to
 
   Scenario: A later start of a target that was leaving is used
-    Guards against a target that is left alone for what its earlier start said.
+    Guards against excluding a target because of a report of its earlier start.
     Given registered targets a and b that started at 1000
-    When an answer of a says that it leaves
+    When a response of a says that it is leaving
     Then b may be used and a may not be sent to
     When a registers with version 1 as started at 2000
     Then a and b may be used
 
   Scenario: What an earlier start said of leaving does not concern a later one
-    Guards against a late answer that takes the new start of a target out.
+    Guards against a late response that excludes the new start of a target.
     Given registered targets a and b that started at 1000
     When a registers with version 1 as started at 2000
-    And an answer of a as started at 1000 says that it leaves
+    And a response of a as started at 1000 says that it is leaving
     Then a and b may be used
 
   Scenario: A registration that lapsed while the store was away counts later
-    The store was away, so nobody could renew. On its return all registrations are
-    gone; targets that live write themselves in again within two seconds.
+    While the store is down no registration can be renewed. On its return all of them
+    have lapsed, and running targets register again within two seconds.
     Given registered targets a and b
     When the registrations of a and b are gone as the store comes back
     Then a and b may be used
@@ -54,49 +54,49 @@
 
   Scenario: A target is left alone while its weights are changed
     Given registered targets a and b
-    When a is said to change its weights for 2.5 s
+    When a is reported to change its weights for 2.5 s
     Then b may be used
-    When a answers with version 2
+    When a responds with version 2
     Then a and b may be used
 
   Scenario: A target whose change nobody ends is used again
-    The daemon that ordered the change dies. The target has long been done.
+    The daemon that ordered the change dies after the target has completed it.
     Given registered targets a and b
-    When a is said to change its weights for 2.5 s
+    When a is reported to change its weights for 2.5 s
     And 3 s pass
     Then a and b may be used
 
   Scenario: Late registrations do not take newer weights back
     Given registered targets a and b
-    When a answers with version 2
+    When a responds with version 2
     And a registers with version 1
     Then a holds version 2
 
   Scenario: A target that comes back with old weights is not used before it changes
-    It was silent while new weights went in everywhere, longer than old ones may be
-    served. It comes back with the old ones, and whatever it ran would be too late.
+    The target was unreachable while all others loaded new weights, for longer than old
+    ones may be served. It returns with the old ones, which may no longer serve.
     Given registered targets a and b
-    When version 2 is named and put into b
+    When version 2 is named and loaded by b
     Then a and b may be used
     When 9 s pass
     Then b may be used
-    When a answers with version 2
+    When a responds with version 2
     Then a and b may be used
 
   Scenario: A daemon that has just started does not know when weights were named
-    They may have been named long ago. Old weights are served for a moment only.
+    The weights may have been named long ago, so old ones are served only briefly.
     Given registered targets a and b
-    When version 2 is found named at the start
+    When version 2 is found already named at startup
     Then a and b may be used
     When 3 s pass
     Then nothing may be used
 
   Scenario: One target that lags behind does not outdate the others
-    Orders are lost and one engine misses a version for long. When the next version is
-    named, all engines that hold the one before were refused at once, as if they had
-    been due with the one that lags; for a second nothing was served.
+    Orders are lost and one engine misses a version. When the next version was named,
+    all engines with the previous one were excluded at once, because the deadline of the
+    lagging engine was applied to them; nothing was served for a second.
     Given registered targets a and b
-    When version 2 is named and put into b
+    When version 2 is named and loaded by b
     And 9 s pass
     Then b may be used
     When version 3 is named
@@ -105,8 +105,8 @@
     Then nothing may be used
 
   Scenario Outline: A daemon that starts is told by a peer how long old weights serve
-    All daemons are stopped in turn while weights change. One that has just started
-    refused every request after 2.5 s, while its peers served for seconds more.
+    Daemons are restarted in turn during a weights change. A daemon that had just
+    started refused every request after 2.5 s, while its peers served for seconds more.
     Given registered targets a and b
     When <first>
     And <second>
@@ -116,60 +116,60 @@
     Then nothing may be used
 
     Examples:
-      | first                                       | second                                      |
-      | version 2 is found named at the start       | a peer tells that old weights serve for 5 s |
-      | a peer tells that old weights serve for 5 s | version 2 is found named at the start       |
+      | first                                                 | second                                                |
+      | version 2 is found already named at startup           | a peer reports that old weights may be served for 5 s |
+      | a peer reports that old weights may be served for 5 s | version 2 is found already named at startup           |
 
   Scenario: What a peer tells moves no time that is known
     Given registered targets a and b
     When version 2 is named
-    And a peer tells that old weights serve for 1 s
+    And a peer reports that old weights may be served for 1 s
     And 3 s pass
     Then a and b may be used
 
   Scenario: Newer weights are preferred some time after they were named
     Given registered targets a and b
-    When version 2 is named and put into b
-    Then a costs 0 s and b 0 s more
+    When version 2 is named and loaded by b
+    Then the penalty is 0 s for a and 0 s for b
     When 1.3 s pass
-    Then a costs 0.15 s and b 0 s more
+    Then the penalty is 0.15 s for a and 0 s for b
 
   Scenario: A target that starts again under its name begins anew
-    An engine dies and is back within a second, with its name and without anything
-    else. What was believed of its cache and its change of weights is of a process
-    that has ended, and the weights that it states now are the ones that it has.
+    An engine restarts within a second under the same name. Records of its cache and of
+    its weights change belong to the ended process; the weights in its new registration
+    are the ones that it holds.
     Given registered targets a and b that started at 1000
-    When a answers with version 2
-    And a is said to change its weights for 2.5 s
+    When a responds with version 2
+    And a is reported to change its weights for 2.5 s
     And a registers with version 1 as started at 2000
     Then a and b may be used
     And a holds version 1
-    And a is believed to be the start at 2000
+    And the recorded start of a is 2000
 
   Scenario: An entry of an earlier start changes nothing
-    Entries come late. One that an engine wrote before it died arrives after the one
-    of its new start, and would make daemons send to where nobody listens.
+    A registration that an engine wrote before it died may arrive after that of its new
+    start. Daemons would then send to an address at which nothing listens.
     Given registered targets a and b that started at 1000
     When a registers with version 2 as started at 2000
     And a registers as leaving as started at 1000
     Then a and b may be used
     And a holds version 2
-    And a is believed to be the start at 2000
+    And the recorded start of a is 2000
 
   Scenario: An entry that is told twice changes nothing
     Given registered targets a and b that started at 1000
-    When a answers with version 2
+    When a responds with version 2
     And a registers with version 1 as started at 1000
     Then a holds version 2
 
   Scenario: A target tells its new start before its entry does
-    An engine that died is asked whether it is still the one that lost a request. Its
-    report states a new start; its entry follows a second later.
+    After a lost request an engine is asked for its start. Its report gives a new start,
+    while its registration is updated only a second later.
     Given registered targets a and b that started at 1000
     When a reports that it started at 2000
-    Then a is believed to be the start at 2000
+    Then the recorded start of a is 2000
     When a registers with version 1 as started at 1000
-    Then a is believed to be the start at 2000
+    Then the recorded start of a is 2000
 
   Scenario: An earlier start stays known while a target is off the list
     Given registered targets a and b that started at 1000
@@ -179,32 +179,32 @@
     Then b may be used
 
   Scenario: A change of an earlier start keeps no work off the new one
-    A peer tells that an engine changes its weights. The engine has died meanwhile and
-    started again; the change has ended with it.
+    A peer reports that an engine changes its weights. The engine has restarted in the
+    meantime, which ended the change.
     Given registered targets a and b that started at 1000
     When a registers with version 1 as started at 2000
-    And a peer tells that a as started at 1000 changes for 2.5 s
+    And a peer reports that a as started at 1000 changes its weights for 2.5 s
     Then a and b may be used
-    When a peer tells that a as started at 2000 changes for 2.5 s
+    When a peer reports that a as started at 2000 changes its weights for 2.5 s
     Then b may be used
 
   Scenario: A target is believed when it holds older weights than it did
-    An engine starts again. An order that was sent to its earlier start arrives late
-    and, as the count of orders began anew, is carried out: it is back at version 1.
-    Everybody believed in version 2, and every request to it was rejected for good.
+    An engine restarts. A late order for its earlier start is executed because its
+    counter of orders restarted too: the engine is back at version 1. Daemons assumed
+    version 2, and the engine rejected every request from then on.
     Given registered targets a and b
-    When a answers with version 2
-    And a answers with version 1
+    When a responds with version 2
+    And a responds with version 1
     Then a holds version 2
     When 1 s pass
-    And a answers with version 1
+    And a responds with version 1
     Then a holds version 1
 
   Scenario: A target whose entry is overwritten is not used until it writes a good one
-    Somebody else's program writes into an engine's entry. Whatever stands there is no
-    address that a caller's prompt may be sent to.
+    Another program overwrites an engine's registration. A caller's prompt must not be
+    sent to an address from there.
     Given registered targets a and b
-    When something unusable is registered for a
+    When an unusable registration replaces that of a
     Then b may be used and a may not be sent to
     When a registers with version 1
     Then a and b may be used
--- a/lycheepost/app/fleet.py
+++ b/lycheepost/app/fleet.py
@@ -20,7 +20,7 @@
 )
 from lycheepost.ports.table import TablePort
 from lycheepost.state.memberrows import MemberRow, MemberRows
-from lycheepost.state.members import MemberKeeper
+from lycheepost.state.members import MemberManager
 from lycheepost.state.peerkeys import StoredKeys, load_peer_keys
 from lycheepost.utils.tasks import start_task
 
@@ -61,7 +61,7 @@
         table: TablePort,
         transport: SocketTransport,
         exchange: PeerExchange,
-        members: MemberKeeper,
+        members: MemberManager,
     ) -> None:
         self._identity = identity
         self._table = table
--- a/lycheepost/app/fleetplace.py
+++ b/lycheepost/app/fleetplace.py
@@ -10,7 +10,7 @@
 from lycheepost.decide.feedtree import find_sources
 from lycheepost.peers.neighbours import LINKED_STATES
 from lycheepost.state.addresses import Member, MemberState
-from lycheepost.state.members import MemberKeeper
+from lycheepost.state.members import MemberManager
 
 _log = structlog.get_logger(part="fleet")
 
@@ -98,7 +98,7 @@
         chooser: Chooses the entry daemons for ``members``.
     """
 
-    def __init__(self, members: MemberKeeper, chooser: EntryChooser) -> None:
+    def __init__(self, members: MemberManager, chooser: EntryChooser) -> None:
         self._members = members
         self._chooser = chooser
         self._place: FleetPlace | None = None
@@ -108,7 +108,7 @@
         """Follow how many targets there are."""
         if n_targets != self._chooser.n_targets:
             self._chooser.n_targets = n_targets
-            self._members.choose_anew()
+            self._members.invalidate_choices()
 
     def place(self) -> FleetPlace:
         """Return the place by what is known now."""
--- a/lycheepost/app/platformdaemon.py
+++ b/lycheepost/app/platformdaemon.py
@@ -51,8 +51,8 @@
 from lycheepost.platform.store import StoreClient
 from lycheepost.ports.feed import FeedPort
 from lycheepost.state.addresses import MemberState
-from lycheepost.state.firstreads import FirstReads
-from lycheepost.state.routing import RoutingKeeper
+from lycheepost.state.initial_reads import InitialReads
+from lycheepost.state.routing import RoutingManager
 from lycheepost.state.watch import Watch
 from lycheepost.utils.metrics import ServedMetrics
 from lycheepost.utils.tasks import start_task
@@ -123,7 +123,7 @@
         return self._made.base.store
 
     @property
-    def routing(self) -> RoutingKeeper:
+    def routing(self) -> RoutingManager:
         """Return the configuration in force."""
         return self._made.traffic.routing
 
@@ -320,7 +320,7 @@
     settings = SettingsWatch(node, settings_file)
     fleet_quotas = FleetQuotas(base.seed, base.clock.now_seconds())
     peers = make_platform_peers(base, fleet_quotas)
-    first_reads = FirstReads(n_wanted=N_TABLES)
+    first_reads = InitialReads(n_tables=N_TABLES)
     traffic = make_platform_traffic(
         base,
         peers.exchange,
@@ -339,7 +339,7 @@
     )
     watches = _make_watches(base, peers.feed, traffic, weights, settings)
     for watch in watches:
-        watch.on_first(first_reads.note)
+        watch.on_first_response(first_reads.note)
     made = DaemonParts(base, peers, traffic, weights, watches, settings, fleet_quotas)
     return PlatformDaemon(made, metrics, leave_plan, sockets, metrics_port)
 
--- a/lycheepost/app/platformpeers.py
+++ b/lycheepost/app/platformpeers.py
@@ -29,9 +29,9 @@
 from lycheepost.platform.orders import ServerOrders
 from lycheepost.state.addresses import Member, MemberState
 from lycheepost.state.duties import DutyRunner, is_candidate
-from lycheepost.state.leases import Lease, LeaseKeeper
+from lycheepost.state.leases import Lease, LeaseManager
 from lycheepost.state.memberrows import MemberRows
-from lycheepost.state.members import MemberKeeper, make_member_keeper
+from lycheepost.state.members import MemberManager, make_member_manager
 from lycheepost.state.targetlist import TargetList
 from lycheepost.state.view import make_view
 
@@ -87,7 +87,7 @@
         places: Where this daemon stands.
     """
 
-    members: MemberKeeper
+    members: MemberManager
     exchange: PeerExchange
     fleet: Fleet
     feed: SharedFeed
@@ -132,7 +132,7 @@
     # Members alone are kept here; the targets come from the platform's own list.
     view = make_view(Configuration(revision=0))
     chooser = EntryChooser()
-    members = make_member_keeper(
+    members = make_member_manager(
         MemberRows(base.store),
         base.clock,
         me,
@@ -140,8 +140,8 @@
         MEMBER_LOOK_SECONDS,
         ADDRESS_SECONDS,
         base.seed,
-        names_unheard=False,
-        choose_entry=chooser.choose,
+        includes_unconfirmed=False,
+        choose_entry_daemons=chooser.choose,
         fleet_poll_seconds=FLEET_LOOK_SECONDS,
     )
     places = PlaceFinder(members, chooser)
@@ -224,7 +224,7 @@
         lambda message, _sender: targets.note_changes(to_changes(message)),
     )
     WeightsDueExchange(peers.exchange, targets, base.clock)
-    leases = LeaseKeeper(
+    leases = LeaseManager(
         base.store,
         base.clock,
         daemon,
@@ -250,7 +250,7 @@
     return WeightsDuty(rollout, duty)
 
 
-def _entry_members(members: MemberKeeper) -> tuple[Member, ...]:
+def _entry_members(members: MemberManager) -> tuple[Member, ...]:
     """Return the members that stand ready: only these know what runs at a target."""
     entry = members.entry()
     return tuple(item for item in members.members() if item.daemon in entry)
@@ -263,11 +263,11 @@
         peers.exchange.send(mate, news)
 
 
-def _take_lease(leases: LeaseKeeper, news: LeaseNews) -> None:
+def _take_lease(leases: LeaseManager, news: LeaseNews) -> None:
     if news.is_released:
         leases.note_released(news.duty)
     else:
-        leases.note_told(news.duty, news.version)
+        leases.note_renewed(news.duty, news.version)
 
 
 def _groups_of(table: RouteTable | None, model: ModelId) -> tuple[TargetGroupId, ...]:
--- a/lycheepost/app/platformtraffic.py
+++ b/lycheepost/app/platformtraffic.py
@@ -39,8 +39,8 @@
 from lycheepost.platform.ingress import ClientFront
 from lycheepost.platform.orders import ServerOrders
 from lycheepost.platform.settings import Bounds
-from lycheepost.state.firstreads import FirstReads
-from lycheepost.state.routing import RoutingKeeper
+from lycheepost.state.initial_reads import InitialReads
+from lycheepost.state.routing import RoutingManager
 from lycheepost.state.targetlist import TargetList
 from lycheepost.targets.forward import ForwardClient
 from lycheepost.targets.forwardcall import AnswerHead
@@ -84,7 +84,7 @@
     client: ForwardClient
     orders: ServerOrders
     targets: TargetList
-    routing: RoutingKeeper
+    routing: RoutingManager
     front: ClientFront
     cache_events: CacheEventsClient
     caches: CacheFollower
@@ -119,7 +119,7 @@
     exchange: PeerExchange,
     metrics: Metrics,
     get_bounds: Callable[[], Bounds],
-    first_reads: FirstReads,
+    first_reads: InitialReads,
     fleet_quotas: FleetQuotas,
 ) -> PlatformTraffic:
     """Join the parts that carry requests; nothing is started yet.
@@ -169,7 +169,7 @@
         kv_copies,
         may_follow_engines=Mechanism.CACHE_EVENTS not in switched_off,
     )
-    routing = RoutingKeeper()
+    routing = RoutingManager()
     routing.subscribe(targets.set_table)
     routing.subscribe(caches.set_table)
     routing.subscribe(quotas.set_table)
@@ -263,7 +263,7 @@
 
 async def _is_same_start(
     targets: TargetList,
-    routing: RoutingKeeper,
+    routing: RoutingManager,
     orders: ServerOrders,
     sent_to: ListedTarget,
 ) -> bool:
--- a/lycheepost/app/status.py
+++ b/lycheepost/app/status.py
@@ -8,14 +8,14 @@
     FleetTarget,
 )
 from lycheepost.generated.settings import Settings
-from lycheepost.state.members import MemberKeeper
-from lycheepost.state.revisions import RevisionKeeper
+from lycheepost.state.members import MemberManager
+from lycheepost.state.revisions import RevisionManager
 
 UNKNOWN_REVISION = -1
 
 
 def fleet_status(
-    settings: Settings, revisions: RevisionKeeper, members: MemberKeeper
+    settings: Settings, revisions: RevisionManager, members: MemberManager
 ) -> FleetStatus:
     """Return daemons and targets with their states."""
     states = members.target_states()
--- a/lycheepost/app/traffic.py
+++ b/lycheepost/app/traffic.py
@@ -40,8 +40,8 @@
 from lycheepost.report.samples import Recorder
 from lycheepost.state.addresses import MemberState
 from lycheepost.state.customerquotas import list_quotas
-from lycheepost.state.members import MemberKeeper
-from lycheepost.state.signs import SignSource, TargetSign
+from lycheepost.state.members import MemberManager
+from lycheepost.state.signals import SignalSource, TargetSignal
 from lycheepost.state.view import ConfigurationView
 from lycheepost.targets.control import ControlClient, make_control_client
 from lycheepost.targets.engine import EngineClient, make_engine_client
@@ -166,12 +166,14 @@
     )
     drain_state = DrainState()
 
-    def on_sign(target: TargetId, sign: TargetSign) -> None:
+    def on_sign(target: TargetId, sign: TargetSignal) -> None:
         state.members.observe_target(target, sign, clock.now_seconds())
         feed.note_state(target, state.members.target_state(target))
 
     def on_unreachable(target: TargetId) -> None:
-        sign = TargetSign(SignSource.CONNECTION, TargetState.GONE, UNREACHABLE_SECONDS)
+        sign = TargetSignal(
+            SignalSource.CONNECTION, TargetState.GONE, UNREACHABLE_SECONDS
+        )
         state.members.observe_target(target, sign, clock.now_seconds())
         feed.feed()
         observer.recheck(target)
@@ -232,7 +234,7 @@
     )
 
 
-def serving_peers(members: MemberKeeper) -> tuple[DaemonId, ...]:
+def serving_peers(members: MemberManager) -> tuple[DaemonId, ...]:
     """Return the other daemons that callers may be sent to."""
     me = members.me().daemon
     return tuple(
--- a/lycheepost/bench/capacity_holder.py
+++ b/lycheepost/bench/capacity_holder.py
@@ -30,7 +30,7 @@
 )
 from lycheepost.standin.virtualtime import virtual_clock
 from lycheepost.state.errors import StateError
-from lycheepost.state.revisions import RevisionKeeper
+from lycheepost.state.revisions import RevisionManager
 from lycheepost.state.view import ConfigurationView
 
 _SUSPENDED_SEND_SHARE = 0.15
@@ -142,7 +142,7 @@
 
     def __init__(
         self,
-        inner: RevisionKeeper,
+        inner: RevisionManager,
         on_commit: Callable[[Configuration, Configuration], None],
     ) -> None:
         self._inner = inner
--- a/lycheepost/bench/capacity_world.py
+++ b/lycheepost/bench/capacity_world.py
@@ -55,8 +55,8 @@
 from lycheepost.standin.objects import make_object_model
 from lycheepost.standin.table import TableModel, make_table_model
 from lycheepost.standin.virtualtime import virtual_clock
-from lycheepost.state.leases import LeaseKeeper
-from lycheepost.state.revisions import make_revision_keeper
+from lycheepost.state.leases import LeaseManager
+from lycheepost.state.revisions import make_revision_manager
 
 _GROUP = "engines"
 _MODEL = "reader"
@@ -139,7 +139,7 @@
     async def run(self) -> CapacityRun:
         """Run faults and operators, then quiet, and judge."""
         clock = virtual_clock()
-        self.observer = make_revision_keeper(
+        self.observer = make_revision_manager(
             self.table, self.objects, clock, poll_seconds=0.3
         )
         await self._seed_configuration()
@@ -204,9 +204,9 @@
         holder = self.holders[index]
         clock = virtual_clock()
         table = GatedTable(self.table, holder)
-        revisions = make_revision_keeper(table, self.objects, clock, poll_seconds=0.5)
+        revisions = make_revision_manager(table, self.objects, clock, poll_seconds=0.5)
         await revisions.start()
-        leases = LeaseKeeper(
+        leases = LeaseManager(
             table, clock, DaemonId(f"d{index}"), _LEASE_SECONDS, _MARGIN_SECONDS
         )
         orders = ModelOrders(self.targets, holder, self.chance)
--- a/lycheepost/bench/claimrate.py
+++ b/lycheepost/bench/claimrate.py
@@ -25,7 +25,7 @@
 from lycheepost.standin.table import make_table_model
 from lycheepost.standin.virtualtime import run_virtual, virtual_clock
 from lycheepost.state.claim_rows import Granted, StoredAnswer
-from lycheepost.state.claims import ClaimKeeper, ClaimLimits, make_claim_keeper
+from lycheepost.state.claims import ClaimLimits, ClaimManager, make_claim_manager
 
 WRITES_PER_SECOND = 300.0
 _LOADS = ((7, 70.0), (7, 700.0), (7, 3500.0), (540, 3500.0))
@@ -62,7 +62,7 @@
 def measure_claims(seed: int) -> list[ClaimRateRecord]:
     """Return records for several loads, each with group commit and without."""
     together = ClaimLimits(
-        most_writes_per_second=WRITES_PER_SECOND,
+        max_writes_per_second=WRITES_PER_SECOND,
     )
     alone = replace(together, batch_rows=1, batch_seconds=0.0)
     records = []
@@ -87,7 +87,7 @@
     table = make_table_model(clock, 1e9, WRITES_PER_SECOND)
     table.faults.delay_seconds = _LATENCY_SECONDS
     keepers = [
-        make_claim_keeper(
+        make_claim_manager(
             table,
             make_object_model(clock),
             clock,
@@ -124,7 +124,7 @@
     )
 
 
-async def _call(keeper: ClaimKeeper, number: int, tally: _Tally) -> None:
+async def _call(keeper: ClaimManager, number: int, tally: _Tally) -> None:
     clock = virtual_clock()
     started_seconds = clock.now_seconds()
     claimed = await keeper.claim(
--- a/lycheepost/bench/fleet.py
+++ b/lycheepost/bench/fleet.py
@@ -158,7 +158,7 @@
     )
     if fleet.spreading is Spreading.TABLE_ONLY:
         # The baseline: nobody relies on another daemon's look at the table.
-        state.revisions.count_daemons_as(lambda: 1)
+        state.revisions.set_daemon_count(lambda: 1)
     fleet.vm_list.put(
         Vm(
             name=name,
--- a/lycheepost/bench/leasechaos.py
+++ b/lycheepost/bench/leasechaos.py
@@ -1,6 +1,6 @@
 """Seeded random runs of daemons that compete for one duty and give orders.
 
-The daemons run the real ``LeaseKeeper`` on the table's stand-in in virtual time.
+The daemons run the real ``LeaseManager`` on the table's stand-in in virtual time.
 Each run draws pauses, crashes, lost answers, late writes, stale reads, outages
 and clock drift, and two targets take orders: one refuses old fencing numbers, the
 other ignores them. An order is out of turn when a target accepts it after one
@@ -28,7 +28,7 @@
 )
 from lycheepost.standin.table import TableModel, make_table_model
 from lycheepost.standin.virtualtime import VirtualTimeLoop, run_virtual, virtual_clock
-from lycheepost.state.leases import Lease, LeaseKeeper
+from lycheepost.state.leases import Lease, LeaseManager
 
 _DUTY = "capacity"
 _LEASE_SECONDS = 5.0
@@ -264,7 +264,7 @@
     drift = run.dice.uniform(-_MOST_DRIFT, _MOST_DRIFT)
     clock = _DriftingClock(virtual_clock(), 1 + drift)
     name = DaemonId(f"daemon-{number}")
-    keeper = LeaseKeeper(
+    keeper = LeaseManager(
         _PausableTable(run.table, daemon),
         clock,
         name,
--- a/lycheepost/bench/slopes.py
+++ b/lycheepost/bench/slopes.py
@@ -40,7 +40,7 @@
 from lycheepost.standin.virtualtime import run_virtual, virtual_clock
 from lycheepost.state.claim_rows import Granted, StoredAnswer
 from lycheepost.state.deltas import Delta, apply_delta, encode_delta, make_delta
-from lycheepost.state.members import MemberKeeper
+from lycheepost.state.members import MemberManager
 from lycheepost.state.view import ConfigurationView, make_view
 
 N_TARGETS = (100, 1_500, 6_000, 12_000)
@@ -279,10 +279,10 @@
         fleet = make_fleet(size, 1, configuration=make_configuration(8, 20))
         members = fleet.daemons[0].state.members
         await asyncio.sleep(1)
-        members.take_list(fleet.vm_list.current(), virtual_clock().now_seconds())
+        members.apply_vm_list(fleet.vm_list.current(), virtual_clock().now_seconds())
         assert members.n_live() == size, members.n_live()
 
-        def ask(members: MemberKeeper = members) -> None:
+        def ask(members: MemberManager = members) -> None:
             for customer in customers:
                 members.addresses(customer, 60.0)
 
--- a/lycheepost/operators/capacity_ports.py
+++ b/lycheepost/operators/capacity_ports.py
@@ -20,7 +20,7 @@
 from lycheepost.generated.settings import OperatorSettings
 from lycheepost.operators.ports import RevisionPort
 from lycheepost.ports.vms import VmListPort
-from lycheepost.state.leases import LeaseKeeper
+from lycheepost.state.leases import LeaseManager
 
 
 class OrderPort(Protocol):
@@ -64,7 +64,7 @@
     """
 
     revisions: RevisionPort
-    leases: LeaseKeeper
+    leases: LeaseManager
     orders: OrderPort
     states: Callable[[], dict[TargetId, TargetState]]
     clock: Clock
--- a/lycheepost/operators/weightsrollout.py
+++ b/lycheepost/operators/weightsrollout.py
@@ -29,12 +29,12 @@
 from lycheepost.generated.messages import TargetsChanging
 from lycheepost.operators.weightsnews import WeightsNews
 from lycheepost.state.leases import Lease
+from lycheepost.state.namedweights import weights_number
 from lycheepost.state.targetlist import (
-    CHANGE_SECONDS,
+    WEIGHTS_CHANGE_TIMEOUT_SECONDS,
     TargetList,
     WeightsChange,
 )
-from lycheepost.state.wantedweights import weights_number
 from lycheepost.targets.weightsport import (
     LoadWeights,
     OrderAnswer,
@@ -285,7 +285,7 @@
         version = (
             self._targets.weights_of(order.target, order.model) if is_done else None
         )
-        for_seconds = 0.0 if is_done else CHANGE_SECONDS
+        for_seconds = 0.0 if is_done else WEIGHTS_CHANGE_TIMEOUT_SECONDS
         self._news.tell(WeightsChange(start, order.model, version, for_seconds))
 
     async def _order(self, target: ListedTarget, order: WeightsOrder) -> bool:
--- a/lycheepost/peers/exchange.py
+++ b/lycheepost/peers/exchange.py
@@ -28,7 +28,7 @@
     kind_of,
 )
 from lycheepost.state.addresses import Member
-from lycheepost.state.members import MemberKeeper
+from lycheepost.state.members import MemberManager
 from lycheepost.utils.tasks import start_task
 
 _SILENT_EXCHANGES = 3.0
@@ -74,7 +74,7 @@
     def __init__(
         self,
         transport: Transport,
-        members: MemberKeeper,
+        members: MemberManager,
         clock: Clock,
         get_revision: Callable[[], int],
         fanout: int,
@@ -382,7 +382,7 @@
 
 def make_peer_exchange(
     transport: Transport,
-    members: MemberKeeper,
+    members: MemberManager,
     clock: Clock,
     get_revision: Callable[[], int],
     fanout: int = 4,
--- a/lycheepost/peers/feedshare.py
+++ b/lycheepost/peers/feedshare.py
@@ -333,7 +333,7 @@
         now_seconds = self._clock.now_seconds()
         self._asked_by_seconds = now_seconds
         held = _Held(sender, ask, now_seconds)
-        if not self._mirrors[ask.table].knows(now_seconds):
+        if not self._mirrors[ask.table].is_fresh(now_seconds):
             self._refuse(held)
         elif not self._try_answer(held, now_seconds):
             self._held.append(held)
@@ -367,7 +367,7 @@
         now_seconds = self._clock.now_seconds()
         kept: list[_Held] = []
         for held in self._held:
-            if not self._mirrors[held.ask.table].knows(now_seconds):
+            if not self._mirrors[held.ask.table].is_fresh(now_seconds):
                 self._refuse(held)
             elif self._try_answer(held, now_seconds):
                 continue
--- a/lycheepost/peers/membership.py
+++ b/lycheepost/peers/membership.py
@@ -15,8 +15,8 @@
 from lycheepost.peers.exchange import PeerExchange
 from lycheepost.peers.records import from_peer_member, to_peer_member
 from lycheepost.state.addresses import Member
-from lycheepost.state.members import MemberKeeper
-from lycheepost.state.signs import SignSource, TargetSign
+from lycheepost.state.members import MemberManager
+from lycheepost.state.signals import SignalSource, TargetSignal
 
 _GATHER_SECONDS = 0.1
 """News of daemons waits this long for more; five steps take half a second, well
@@ -27,7 +27,7 @@
     """Connects a daemon's members with the peers; it has no task of its own."""
 
     def __init__(
-        self, exchange: PeerExchange, members: MemberKeeper, clock: Clock
+        self, exchange: PeerExchange, members: MemberManager, clock: Clock
     ) -> None:
         self._exchange = exchange
         self._members = members
@@ -37,14 +37,14 @@
         exchange.subscribe(MemberNews, self._take_members)
         exchange.subscribe(TargetNews, self._take_target)
         members.on_member(self._tell_member)
-        members.on_target_sign(self._tell_target)
+        members.on_target_signal(self._tell_target)
 
     def _take_hello(self, hello: PeerHello, sender: DaemonId) -> None:
         member = from_peer_member(hello.member)
         if member is None:
             return
         known = self._members.get(member.daemon)
-        if self._members.hear(member):
+        if self._members.merge(member):
             self._pass_on(member.daemon, sender)
         elif known is not None and known.state is not member.state:
             # It does not know that others gave it up: it must say again, with a
@@ -57,7 +57,7 @@
     def _take_members(self, news: MemberNews, sender: DaemonId) -> None:
         for message in news.members:
             member = from_peer_member(message)
-            if member is not None and self._members.hear(member):
+            if member is not None and self._members.merge(member):
                 self._pass_on(member.daemon, sender)
 
     def _take_target(self, news: TargetNews, sender: DaemonId) -> None:
@@ -65,7 +65,7 @@
             state = TargetState(news.state)
         except ValueError:
             return
-        sign = TargetSign(SignSource.PEER, state, news.valid_seconds)
+        sign = TargetSignal(SignalSource.PEER, state, news.valid_seconds)
         self._members.observe_target(
             TargetId(news.target), sign, self._clock.now_seconds()
         )
@@ -96,7 +96,7 @@
             if members:
                 self._exchange.send(link, MemberNews(members=members))
 
-    def _tell_target(self, target: TargetId, sign: TargetSign) -> None:
+    def _tell_target(self, target: TargetId, sign: TargetSignal) -> None:
         self._exchange.broadcast(
             TargetNews(
                 target=target,
--- a/lycheepost/peers/revisions.py
+++ b/lycheepost/peers/revisions.py
@@ -23,7 +23,7 @@
 from lycheepost.peers.exchange import PeerExchange
 from lycheepost.state.deltas import decode_delta, encode_delta
 from lycheepost.state.revision_rows import decode_snapshot, encode_snapshot
-from lycheepost.state.revisions import PEER_SOURCE, RevisionKeeper
+from lycheepost.state.revisions import PEER_SOURCE, RevisionManager
 from lycheepost.state.view import ConfigurationView
 
 _ASK_AGAIN_SECONDS = 1.0
@@ -36,7 +36,7 @@
     """Connects a daemon's configuration with the peers; it has no task."""
 
     def __init__(
-        self, exchange: PeerExchange, keeper: RevisionKeeper, clock: Clock
+        self, exchange: PeerExchange, keeper: RevisionManager, clock: Clock
     ) -> None:
         self._exchange = exchange
         self._keeper = keeper
@@ -87,7 +87,7 @@
         except (msgspec.MsgspecError, ValueError):
             _log.warning("peers: damaged deltas", sender=sender)
             return
-        self._keeper.offer_deltas(deltas, f"{PEER_SOURCE} {sender}")
+        self._keeper.adopt_deltas(deltas, f"{PEER_SOURCE} {sender}")
 
     def _take_whole(self, message: RevisionWhole, sender: DaemonId) -> None:
         try:
@@ -97,4 +97,4 @@
             return
         match decode_snapshot(data):
             case Success(configuration):
-                self._keeper.offer(configuration, f"{PEER_SOURCE} {sender}")
+                self._keeper.adopt(configuration, f"{PEER_SOURCE} {sender}")
--- a/lycheepost/peers/shared.py
+++ b/lycheepost/peers/shared.py
@@ -17,11 +17,11 @@
 from lycheepost.ports.vms import VmListPort
 from lycheepost.state.addresses import Member, MemberState
 from lycheepost.state.claim_expiry import ClaimExpiryWork
-from lycheepost.state.claims import ClaimKeeper, ClaimLimits, make_claim_keeper
+from lycheepost.state.claims import ClaimLimits, ClaimManager, make_claim_manager
 from lycheepost.state.duties import DutyRunner, Work, is_candidate
-from lycheepost.state.leases import LeaseKeeper
-from lycheepost.state.members import MemberKeeper, make_member_keeper
-from lycheepost.state.revisions import RevisionKeeper, make_revision_keeper
+from lycheepost.state.leases import LeaseManager
+from lycheepost.state.members import MemberManager, make_member_manager
+from lycheepost.state.revisions import RevisionManager, make_revision_manager
 from lycheepost.state.snapshots import SnapshotWork
 
 SNAPSHOT_DUTY = "snapshots"
@@ -43,11 +43,11 @@
 class SharedState:
     """The parts of one daemon's shared state; made by ``make_shared_state``."""
 
-    revisions: RevisionKeeper
-    members: MemberKeeper
+    revisions: RevisionManager
+    members: MemberManager
     exchange: PeerExchange
-    claims: ClaimKeeper
-    leases: LeaseKeeper
+    claims: ClaimManager
+    leases: LeaseManager
     duties: tuple[DutyRunner, ...]
 
     async def start(self) -> None:
@@ -123,7 +123,7 @@
         started_wall_seconds=clock.wall_seconds(),
     )
     state = settings.state
-    revisions = make_revision_keeper(
+    revisions = make_revision_manager(
         ports.table,
         ports.objects,
         clock,
@@ -132,7 +132,7 @@
         lambda: members.n_live(),
         seed,
     )
-    members = make_member_keeper(
+    members = make_member_manager(
         ports.vm_list,
         clock,
         me,
@@ -154,7 +154,7 @@
     )
     MemberExchange(exchange, members, clock)
     RevisionExchange(exchange, revisions, clock)
-    claims = make_claim_keeper(
+    claims = make_claim_manager(
         ports.table,
         ports.objects,
         clock,
@@ -164,7 +164,7 @@
         boot,
         lambda: max(members.n_live(), _FEWEST_DAEMONS),
     )
-    leases = LeaseKeeper(
+    leases = LeaseManager(
         ports.table, clock, daemon, state.lease_seconds, state.lease_margin_seconds
     )
 
@@ -197,7 +197,7 @@
         answer_bytes=settings.streams.stored_answer_bytes,
         batch_seconds=settings.state.claim_batch_seconds,
         batch_rows=settings.state.claim_batch,
-        most_writes_per_second=most,
+        max_writes_per_second=most,
     )
 
 
--- a/lycheepost/platform/following.py
+++ b/lycheepost/platform/following.py
@@ -18,9 +18,9 @@
 )
 from lycheepost.platform.registrations import SERVER_TABLE, decode_server
 from lycheepost.ports.feed import ChangedRow, FeedPort
-from lycheepost.state.routing import RoutingKeeper
+from lycheepost.state.routing import RoutingManager
 from lycheepost.state.targetlist import TargetList
-from lycheepost.state.watch import Seen, Watch
+from lycheepost.state.watch import TableUpdate, Watch
 
 MOST_UNUSABLE_LOGGED = 200
 """Lines on unusable entries in a process's life: a writer that writes one a second
@@ -45,14 +45,14 @@
     """
 
     def __init__(
-        self, routing: RoutingKeeper, clock: Clock, on_weights: OnWeights
+        self, routing: RoutingManager, clock: Clock, on_weights: OnWeights
     ) -> None:
         self._routing = routing
         self._clock = clock
         self._on_weights = on_weights
         self._is_readable = True
 
-    def take(self, seen: Seen) -> None:
+    def take(self, seen: TableUpdate) -> None:
         """Take one answer of the store."""
         # A change is told at once; what a whole read finds may be older.
         named_seconds: float | None = self._clock.now_seconds()
@@ -104,7 +104,7 @@
         self._targets = targets
         self._n_unusable = 0
 
-    def take(self, seen: Seen) -> None:
+    def take(self, seen: TableUpdate) -> None:
         """Take one answer of the store."""
         listed: list[ListedTarget] = []
         unusable: list[TargetId] = []
@@ -116,13 +116,13 @@
                 unusable.append(TargetId(row.key))
             else:
                 listed.append(target)
-        self._targets.overwritten(unusable)
+        self._targets.drop_unusable(unusable)
         if seen.is_whole:
-            self._targets.take_all(listed, seen.was_lost)
+            self._targets.replace_all(listed, seen.after_outage)
             return
         removed = [TargetId(row.key) for row in seen.rows if row.value is None]
         if listed or removed:
-            self._targets.take(listed, removed, seen.was_lost)
+            self._targets.take(listed, removed, seen.after_outage)
 
     def _decode(self, name: str, data: bytes) -> ListedTarget | None:
         match decode_server(name, data):
--- a/lycheepost/platform/ingress.py
+++ b/lycheepost/platform/ingress.py
@@ -19,7 +19,7 @@
 from lycheepost.core.routing import Prompt, PromptPart, RouteKind
 from lycheepost.platform import headers as names
 from lycheepost.platform.dialect import count_of, header_number
-from lycheepost.state.firstreads import FirstReads
+from lycheepost.state.initial_reads import InitialReads
 from lycheepost.targets.forwardcall import AnswerHead
 
 UNCONFIGURED_BYTES = 4 * 1024 * 1024
@@ -114,7 +114,7 @@
         is_closed: No request is taken any more.
     """
 
-    def __init__(self, deps: ForwardDeps, first_reads: FirstReads) -> None:
+    def __init__(self, deps: ForwardDeps, first_reads: InitialReads) -> None:
         self.n_open = 0
         self.is_leaving = False
         self.is_closed = False
--- a/lycheepost/ports/retries.py
+++ b/lycheepost/ports/retries.py
@@ -1,7 +1,7 @@
 """Retry reads of a platform service within a budget.
 
 Only calls without an effect are retried here. Whether a write may be sent again
-depends on its conditions, and ``state.settle`` decides that.
+depends on its conditions, and ``state.commit_retry`` decides that.
 """
 
 import asyncio
--- a/lycheepost/state/addresses.py
+++ b/lycheepost/state/addresses.py
@@ -1,10 +1,10 @@
-"""Which daemons a caller is told to use, and in which order.
+"""Choose the daemons that a caller is to use, in order of preference.
 
-Each customer is given a subset of the daemons (shuffle sharding by rendezvous
-hashing), so that the state which a daemon keeps grows with the customers it
-serves and not with the fleet, and so that one customer's flood reaches its own
-subset only. Every daemon still serves every customer: an old answer, or one
-from a daemon that saw other members, keeps working.
+Each customer is assigned a subset of the daemons (shuffle sharding by rendezvous
+hashing). The state of a daemon thus grows with the customers it serves and not with the
+fleet, and a traffic surge of one customer reaches only its own subset. Every daemon
+still serves every customer: an outdated response, or one from a daemon with another
+view of the members, keeps working.
 
 Pure logic: no clock, no I/O.
 """
@@ -19,15 +19,15 @@
 from lycheepost.core.ids import AvailabilityZone, CustomerId, DaemonId
 
 SHARD_DAEMONS = 8
-"""Fewest daemons of a customer in a large fleet: with 540 daemons and 990
-customers each daemon serves about 15 customers, and a customer survives the
-loss of any availability zone and of most of its daemons."""
+"""Minimum daemons per customer in a large fleet. With 540 daemons and 990 customers,
+each daemon serves about 15 customers, and a customer survives the loss of any
+availability zone and of most of its daemons."""
 SHARD_SURPLUS = 2.0
-"""A customer gets this times the daemons that its share of all traffic fills."""
+"""Factor on the number of daemons that a customer's share of all traffic needs."""
 
 
 class MemberState(Enum):
-    """What callers and peers may expect of a daemon."""
+    """State of a daemon as seen by callers and peers."""
 
     LIVE = "live"
     SUSPECT = "suspect"
@@ -42,8 +42,8 @@
     Attributes:
         boot: Changes with each start.
         load: Share of its capacity in use, 0 to 1.
-        sequence: Rises with each announcement of this boot.
-        capacity: What its VM can carry.
+        sequence: Increases with each announcement of this boot.
+        capacity: Capacity of its VM.
     """
 
     daemon: DaemonId
@@ -85,15 +85,15 @@
     """Return the addresses for one customer.
 
     Args:
-        members: Every daemon known.
-        customer: Whom to answer; None gives all live daemons.
-        zone: Availability zone of the caller, as the answering daemon's.
+        members: All known daemons.
+        customer: The customer; None for all live daemons.
+        zone: Availability zone of the caller, assumed to be the answering daemon's.
         traffic_share: The customer's expected share of all traffic, 0 to 1.
-        entry: The daemons that carry the traffic; None for all.
+        entry: The entry daemons, which carry the traffic; None for all daemons.
 
     Returns:
-        Live daemons only; suspects when there are no live ones; leaving daemons
-        when nothing else is left, because an empty answer helps nobody.
+        Live daemons only; suspect ones if there are no live ones; leaving ones if there
+        are no others, because a caller cannot use an empty response.
     """
     usable = _best_class([member for member in members if member.callers_url])
     if entry is not None:
@@ -122,10 +122,10 @@
 
 
 def load_step(load: float) -> int:
-    """Return how a load counts in the order of addresses.
+    """Return the step of a load that is used to order addresses.
 
-    Coarse on purpose: exact loads would reorder every answer on every report,
-    and all callers would move to the one daemon that looked idlest.
+    The steps are coarse: with exact loads every report would reorder the addresses, and
+    all callers would move to the daemon with the lowest load.
     """
     if load < 0.7:
         return 0
@@ -133,7 +133,7 @@
 
 
 def shard_size(n_daemons: int, traffic_share: float) -> int:
-    """Return how many daemons a customer is given."""
+    """Return how many daemons are assigned to a customer."""
     wanted = math.ceil(n_daemons * min(1.0, traffic_share * SHARD_SURPLUS))
     return min(n_daemons, max(SHARD_DAEMONS, wanted))
 
@@ -149,7 +149,7 @@
 def _shard(
     members: list[Member], customer: CustomerId, traffic_share: float
 ) -> list[Member]:
-    """Take the customer's daemons, in turn from each availability zone."""
+    """Choose a customer's daemons, round-robin over the availability zones."""
     size = shard_size(len(members), traffic_share)
     by_name = {str(member.daemon): member for member in members}
     key = hash_bytes(customer.encode())
--- a/lycheepost/state/claim_endings.py
+++ b/lycheepost/state/claim_completion.py
@@ -1,7 +1,7 @@
-"""How claims end: with a stored answer, released, or unkept; until it is written.
+"""Completion of claims: with a stored answer, as released, or as unkept.
 
-A claim's end is written in the background for as long as the store is down. Until
-then this daemon answers resends from what it holds in memory.
+While the store is down, the final row is written in the background. Until it is
+written, this daemon answers resends from memory.
 """
 
 import asyncio
@@ -28,28 +28,28 @@
 )
 
 _ROW_ANSWER_BYTES = 8192
-"""Larger answers go to the object store: 64 of these fill half a megabyte, which
-one transaction may carry."""
-_MOST_UNSTORED_BYTES = 8 * 1024 * 1024
-"""Answers held while the store is down; it bounds the daemon's memory. Over it
-the oldest are given up, and their resends are told "undetermined"."""
+"""Larger answers go to the object store. A batch of 64 answers of this size is half a
+megabyte, which fits in one transaction."""
+_MAX_UNSTORED_BYTES = 8 * 1024 * 1024
+"""Limit on the memory for answers held while the store is down. Above it the oldest are
+dropped, and their resends are answered "undetermined"."""
 _RETRY_PAUSE_SECONDS = 1.0
 _log = structlog.get_logger(part="claims")
 
-Ending = StoredAnswer | ClaimState
-"""How a claim ends: with an answer, ``RELEASED``, or ``UNKEPT``."""
+Completion = StoredAnswer | ClaimState
+"""How a claim completes: with an answer, ``RELEASED``, or ``UNKEPT``."""
 
 
 @dataclass(slots=True)
 class HeldClaim:
-    """What this daemon itself knows of a key.
+    """A claim in this daemon's memory.
 
     Attributes:
-        attempt: The row that this daemon writes or wrote, and the version on
-            which that is conditioned.
-        answer: Waits to be stored.
-        is_fencing: The claim is being given up as not run.
-        is_unknown: The call has ended without an answer and may have run.
+        attempt: The row that this daemon writes or wrote, and the version on which the
+            write is conditioned.
+        answer: The answer that is not stored yet.
+        is_fencing: Whether the claim is being released as not run.
+        is_unknown: Whether the call has ended without an answer and may have run.
     """
 
     attempt: Granted
@@ -58,11 +58,11 @@
     is_unknown: bool = False
 
 
-class ClaimEnder:
-    """Writes the ends of one daemon's claims.
+class ClaimCompleter:
+    """Writes the final rows of one daemon's claims.
 
     Attributes:
-        held: What this daemon itself knows, by key; an entry goes when its end is
+        held: The claims in memory, by key; an entry is removed when its final row is
             written.
     """
 
@@ -86,53 +86,55 @@
 
     @property
     def n_unsettled(self) -> int:
-        """Return how many ends are not written yet."""
+        """Return how many final rows are not written yet."""
         return len(self._tasks)
 
     async def drain(self) -> None:
-        """Wait until every end is written."""
+        """Wait until all final rows are written."""
         while self._tasks:
             await asyncio.wait(set(self._tasks))
 
     async def stop(self) -> None:
-        """Give up what is not written yet."""
+        """Cancel the writes that are not done yet."""
         for task in set(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def settle(self, claim: Granted, ending: Ending) -> Result[None, ClaimError]:
-        """Write how the claim ended; go on trying when the store is down."""
+    async def complete(
+        self, claim: Granted, completion: Completion
+    ) -> Result[None, ClaimError]:
+        """Write the final row of a claim; retry in the background on failure."""
         first = asyncio.get_running_loop().create_future()
-        self._spawn(self._settle_until_done(claim, ending, first))
-        # A caller that leaves meanwhile must not stop the write.
+        self._spawn(self._complete_with_retry(claim, completion, first))
+        # A caller that disconnects in the meantime must not cancel the write.
         if await asyncio.shield(first):
             return Success(None)
-        return Failure(ClaimError("The store is not reachable; it is tried again."))
+        return Failure(ClaimError("The store is unreachable; retrying in background."))
 
     def fence_later(self, held: HeldClaim) -> None:
-        """Make sure that a claim of unknown outcome is never taken for one that ran."""
+        """Release a claim of unknown outcome, so that it never counts as having run."""
         held.is_fencing = True
-        ending = ClaimState.RELEASED
-        self._spawn(self._settle_until_done(held.attempt, ending, None))
+        completion = ClaimState.RELEASED
+        self._spawn(self._complete_with_retry(held.attempt, completion, None))
 
-    async def _settle_until_done(
-        self, claim: Granted, ending: Ending, first: asyncio.Future[bool] | None
+    async def _complete_with_retry(
+        self, claim: Granted, completion: Completion, first: asyncio.Future[bool] | None
     ) -> None:
-        """Write until it is done; ``first`` tells whether the first try was."""
+        """Retry until written; ``first`` gets the result of the first attempt."""
         while True:
-            is_done = await self._settle_once(claim, ending)
+            is_done = await self._try_complete(claim, completion)
             if first is not None and not first.done():
                 first.set_result(is_done)
             if is_done:
                 break
-            if isinstance(ending, StoredAnswer) and self._is_overfull():
-                _log.error("claims: gave up storing an answer", claim=claim.key)
+            if isinstance(completion, StoredAnswer) and self._exceeds_memory_limit():
+                _log.error("claims: answer dropped, not stored", claim=claim.key)
                 break
             await asyncio.sleep(_RETRY_PAUSE_SECONDS)
         self.held.pop(claim.key, None)
 
-    async def _settle_once(self, claim: Granted, ending: Ending) -> bool:
-        row = await self._make_settled_row(claim, ending)
+    async def _try_complete(self, claim: Granted, completion: Completion) -> bool:
+        row = await self._make_final_row(claim, completion)
         if row is None:
             return False
         deadline_seconds = self._clock.now_seconds() + self._wait_seconds
@@ -143,11 +145,11 @@
             case Success():
                 return True
             case Failure(TableConflict()):
-                return await self._settle_moved(claim, row)
+                return await self._complete_at_moved_version(claim, row)
         return False
 
-    async def _settle_moved(self, claim: Granted, row: ClaimRow) -> bool:
-        """Settle at the version to which our own earlier write moved the key."""
+    async def _complete_at_moved_version(self, claim: Granted, row: ClaimRow) -> bool:
+        """Write at the version that an earlier own write has given the row."""
         found = await self._read_row(claim.key)
         if isinstance(found, Failure):
             return False
@@ -167,11 +169,11 @@
         )
         return isinstance(outcome, Success)
 
-    async def _make_settled_row(
-        self, claim: Granted, ending: Ending
+    async def _make_final_row(
+        self, claim: Granted, completion: Completion
     ) -> ClaimRow | None:
         row = replace(claim.row, changed_wall_seconds=self._clock.wall_seconds())
-        match ending:
+        match completion:
             case StoredAnswer() as answer:
                 pass
             case ClaimState() as state:
@@ -189,11 +191,11 @@
     async def _read_row(self, name: str) -> Result[Row | None, TableError]:
         return (await self._table.read((name,))).map(lambda rows: rows[0])
 
-    def _is_overfull(self) -> bool:
-        return self.unstored_bytes() > _MOST_UNSTORED_BYTES
+    def _exceeds_memory_limit(self) -> bool:
+        return self.unstored_bytes() > _MAX_UNSTORED_BYTES
 
     def unstored_bytes(self) -> int:
-        """Return the size of the answers that wait for the store."""
+        """Return the total size of the answers that are not stored yet."""
         return sum(len(held.answer.body) for held in self.held.values() if held.answer)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
--- a/lycheepost/state/claim_expiry.py
+++ b/lycheepost/state/claim_expiry.py
@@ -1,8 +1,8 @@
-"""Remove claims that are older than they must be kept.
+"""Remove claims that are past their retention period.
 
-The work of one duty. Each call takes one page of one shard, so that at 100 claims
-a second kept for a day the pass costs about 100 reads and two writes a second.
-Rows are removed on the condition that they have not changed.
+This is the work of one duty. Each call processes one page of one shard; at 100 claims
+a second kept for a day, the pass costs about 100 reads and two writes a second. Rows
+are removed on the condition that they have not changed.
 """
 
 from collections.abc import Callable
@@ -23,34 +23,38 @@
 from lycheepost.state.leases import Lease
 
 _ROWS_PER_PAGE = 128
-LEAST_KEEP_SECONDS = 3600.0
-"""A removed row no longer refuses a write of its claim that is still under way;
-no such write is an hour old."""
+MIN_RETENTION_SECONDS = 3600.0
+"""Once removed, a row no longer makes a late write of its claim fail. No write is in
+flight for as long as an hour."""
 
 
 class ClaimExpiryWork:
-    """What the holder of the duty does, each time it is called."""
+    """Work of the duty's holder: removes expired claims page by page."""
 
     def __init__(
-        self, table: TablePort, objects: ObjectPort, clock: Clock, keep_seconds: float
+        self,
+        table: TablePort,
+        objects: ObjectPort,
+        clock: Clock,
+        retention_seconds: float,
     ) -> None:
         self._table = table
         self._objects = objects
         self._clock = clock
-        self._keep_seconds = max(LEAST_KEEP_SECONDS, keep_seconds)
+        self._retention_seconds = max(MIN_RETENTION_SECONDS, retention_seconds)
         self._shard = 0
         self._after_key: str | None = None
         self.n_removed = 0
 
     async def work(self, get_lease: Callable[[], Lease]) -> None:
-        """Look at the next page and remove what has expired."""
+        """Remove the expired claims of the next page."""
         prefix = f"{CLAIM_PREFIX}{self._shard:02d}/"
         match await self._table.scan(prefix, self._after_key, _ROWS_PER_PAGE):
             case Success(Page(rows=rows, next_key=next_key)):
                 pass
             case Failure(_):
                 return
-        oldest_seconds = self._clock.wall_seconds() - self._keep_seconds
+        oldest_seconds = self._clock.wall_seconds() - self._retention_seconds
         old = [row for row in rows if _changed_seconds(row) < oldest_seconds]
         if old and get_lease().is_held(self._clock.now_seconds()):
             await self._remove(old)
--- a/lycheepost/state/claim_rows.py
+++ b/lycheepost/state/claim_rows.py
@@ -19,16 +19,16 @@
 CLAIM_PREFIX = "claim/"
 ANSWER_PREFIX = "answers/"
 N_SHARDS = 64
-"""Claims are spread over this many key ranges, one expiry pass each."""
+"""Number of key ranges for claims; each has its own expiry pass."""
 
 
 class ClaimState(Enum):
-    """How far a non-idempotent call has come.
+    """Progress of a non-idempotent call.
 
-    ``CLAIMED`` may have reached a target. ``RELEASED`` has reached none; the row
-    stays, so that a write of the first claim that is still on its way finds its
-    condition broken. ``UNKEPT`` has ended, may have run, and has no answer that is
-    kept: it was too large, or none came.
+    ``CLAIMED``: the call may have reached a target. ``RELEASED``: it has reached none;
+    the row is kept so that the condition of a late write of the first claim fails.
+    ``UNKEPT``: the call has ended and may have run, but no answer is stored because it
+    was too large or none arrived.
     """
 
     CLAIMED = "claimed"
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """The answer that every resend gets, byte for byte."""
+    """The answer that is returned to every resend unchanged."""
 
     status: int
     content_type: str
@@ -52,10 +52,10 @@
 
     Attributes:
         owner: The daemon that holds the request.
-        owner_boot: Changes with each start of the owner, so that a daemon which
-            has restarted under the same name does not pass for the old one.
-        token: Unique for each try to claim.
-        answer: The answer when it is small enough for a row.
+        owner_boot: Changes with each start of the owner, so that a daemon restarted
+            under the same name is distinguished from the earlier start.
+        token: Unique for each attempt to claim.
+        answer: The answer, if it is small enough for a row.
         answer_object: Name of the object that holds a larger answer.
     """
 
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """The caller of ``claim`` alone may run this call, once.
+    """Only the caller of ``claim`` may run this call, once.
 
     Attributes:
         version: Version of the claim's row.
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The call has run; this is its first answer."""
+    """The call has run; this is the first answer."""
 
     answer: StoredAnswer
 
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Undetermined:
-    """The call may or may not have run, and nobody will run it again."""
+    """The call may or may not have run; it will not be run again."""
 
     owner: DaemonId
 
@@ -119,10 +119,10 @@
 
 @dataclass(frozen=True)
 class ClaimBusy(ClaimError):
-    """More claims are waiting than the table's write budget can take.
+    """More claims are waiting than the table's write limit allows.
 
     Attributes:
-        retry_after_seconds: When there may be room.
+        retry_after_seconds: Time until capacity may be available.
     """
 
     retry_after_seconds: float = 1.0
@@ -130,14 +130,14 @@
 
 @dataclass(frozen=True)
 class ClaimStoreDown(ClaimError):
-    """The table service could not be reached, or did not settle in time."""
+    """The table service was unreachable, or the outcome was not known in time."""
 
 
 def claim_key(customer: CustomerId, key: IdempotencyKey) -> str:
     """Return the table key of one customer's idempotency key.
 
-    The hash keeps keys short and of one shape whatever callers send; 128 bits
-    make an accidental match of two keys less likely than any hardware fault.
+    The hash keeps keys short and uniform whatever callers send; with 128 bits a
+    collision is less likely than a hardware fault.
     """
     digest = xxhash.xxh3_128(f"{len(customer)}:{customer}:{key}".encode())
     shard = digest.intdigest() % N_SHARDS
@@ -145,10 +145,10 @@
 
 
 def encode_claim(row: ClaimRow) -> bytes:
-    """Return the bytes of a claim's row."""
+    """Encode a claim as the value of its row."""
     return msgspec.msgpack.encode(row)
 
 
 def decode_claim(row: Row) -> ClaimRow:
-    """Return the claim that a row holds."""
+    """Decode the claim in a row."""
     return msgspec.msgpack.decode(row.value, type=ClaimRow)
--- a/lycheepost/state/claims.py
+++ b/lycheepost/state/claims.py
@@ -1,14 +1,14 @@
-"""Claims: a non-idempotent call reaches a target at most once.
+"""Claims ensure that a non-idempotent call reaches a target at most once.
 
-Before the first byte goes to a target, the daemon writes a row for the
-customer's idempotency key on the condition that there is none. Whoever wrote
-the row may run the call; nobody else ever does, also when the owner dies: then
-the outcome is undetermined and the caller is told so. Only the owner may give
-the claim up again, and only when it can prove that no target was reached.
+Before the first byte is sent to a target, the daemon writes a row for the customer's
+idempotency key on the condition that there is none. Only the daemon that wrote the row
+may run the call, even if that daemon dies: the outcome is then undetermined, and the
+response says so. Only the owner may release the claim, and only if it can prove that no
+target was reached.
 
-A claim whose write has no known outcome is never granted. It is fenced: a
-``RELEASED`` row is written at the version on which the claim was conditioned,
-after which a late claim cannot take effect any more.
+A claim whose write has an unknown outcome is never granted. It is fenced: a
+``RELEASED`` row is written on the same version condition as the claim, after which a
+late write of the claim can no longer take effect.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
     TablePort,
 )
 from lycheepost.state.claim_batch import BatchWriter
-from lycheepost.state.claim_endings import ClaimEnder, HeldClaim
+from lycheepost.state.claim_completion import ClaimCompleter, HeldClaim
 from lycheepost.state.claim_rows import (
     Answered,
     BodyDiffers,
@@ -55,9 +55,9 @@
     decode_claim,
     encode_claim,
 )
-from lycheepost.state.pacing import WritePace
+from lycheepost.state.write_rate import WriteRateLimiter
 
-_CLAIM_TRIES = 4
+_MAX_CLAIM_ATTEMPTS = 4
 _EXPECTED_DAEMONS = 7
 _log = structlog.get_logger(part="claims")
 
@@ -66,25 +66,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimLimits:
-    """Bounds of one daemon's claims.
+    """Limits of one daemon's claims.
 
     Attributes:
-        wait_seconds: Longest time one claim may take.
-        answer_bytes: Largest answer that is kept for resends.
+        wait_seconds: Maximum duration of one claim.
+        answer_bytes: Maximum size of an answer that is stored for resends.
         batch_seconds: How long a claim waits for others to share a transaction.
-        batch_rows: Most claims in one transaction.
-        most_writes_per_second: The table's writes, for all daemons together.
+        batch_rows: Maximum claims in one transaction.
+        max_writes_per_second: Write limit of the table, for all daemons together.
     """
 
     wait_seconds: float = 4.0
     answer_bytes: int = 262_144
     batch_seconds: float = 0.005
     batch_rows: int = 64
-    most_writes_per_second: float = 300.0
+    max_writes_per_second: float = 300.0
 
 
-class ClaimKeeper:
-    """Makes and settles claims for one daemon; made by ``make_claim_keeper``."""
+class ClaimManager:
+    """Makes and completes claims; created by ``make_claim_manager``."""
 
     def __init__(
         self,
@@ -104,12 +104,12 @@
         self._boot = boot
         self._limits = limits
         self._owner_is_live = owner_is_live
-        most = limits.most_writes_per_second
-        pace = WritePace(lambda: most / max(1, n_daemons()), most)
+        max_writes = limits.max_writes_per_second
+        limiter = WriteRateLimiter(lambda: max_writes / max(1, n_daemons()), max_writes)
         self._writer = BatchWriter(
-            table, clock, pace, limits.batch_seconds, limits.batch_rows
+            table, clock, limiter, limits.batch_seconds, limits.batch_rows
         )
-        self._ender = ClaimEnder(
+        self._completer = ClaimCompleter(
             table,
             objects,
             clock,
@@ -117,30 +117,30 @@
             limits.wait_seconds,
             limits.answer_bytes,
         )
-        self._held = self._ender.held
+        self._held = self._completer.held
 
     async def start(self) -> None:
-        """Start the writing task."""
+        """Start the task that writes claims."""
         self._writer.start()
 
     async def drain(self) -> None:
-        """Wait until every answer is stored and every doubtful claim fenced."""
-        await self._ender.drain()
+        """Wait until all answers are stored and all uncertain claims are fenced."""
+        await self._completer.drain()
 
     async def stop(self) -> None:
-        """Stop; answers that are not stored yet are lost to resends."""
-        await self._ender.stop()
+        """Stop; resends cannot get answers that are not stored yet."""
+        await self._completer.stop()
         await self._writer.stop()
 
     def status(self) -> dict[str, int]:
         """Return counts for ``/admin/status``."""
         return {
             "n_held": len(self._held),
-            "n_unsettled": self._ender.n_unsettled,
+            "n_unsettled": self._completer.n_unsettled,
             "n_waiting": self._writer.n_waiting,
             "n_transactions": self._writer.n_transactions,
             "n_rows": self._writer.n_rows,
-            "unstored_bytes": self._ender.unstored_bytes(),
+            "unstored_bytes": self._completer.unstored_bytes(),
         }
 
     async def claim(
@@ -150,18 +150,18 @@
         fingerprint: BodyFingerprint,
         request: RequestId,
     ) -> Result[ClaimOutcome, ClaimError]:
-        """Claim one call before its first byte goes to a target.
+        """Claim one call before its first byte is sent to a target.
 
         Returns:
-            ``Granted`` to exactly one caller for each key; a ``ClaimError`` when
-            this try was not made, so that the call has not been run by it.
+            ``Granted`` for exactly one caller per key; a ``ClaimError`` if the claim
+            was not made, so that this attempt has not run the call.
         """
         name = claim_key(customer, key)
         held = self._held.get(name)
         if held is not None:
-            return self._judge_held(held, fingerprint)
+            return self._outcome_of_held(held, fingerprint)
         wait_seconds = self._writer.predicted_wait_seconds()
-        if not self._writer.has_room() or wait_seconds > self._limits.wait_seconds:
+        if not self._writer.has_capacity() or wait_seconds > self._limits.wait_seconds:
             reason = "Too many claims are waiting for the table."
             return Failure(ClaimBusy(reason, max(1.0, wait_seconds)))
         row = self._make_row(fingerprint, request)
@@ -169,52 +169,52 @@
         try:
             outcome = await self._claim_row(held)
         except asyncio.CancelledError:
-            # The caller has left: nobody will run what may yet be claimed.
-            self._ender.fence_later(held)
+            # The caller has disconnected: if the claim is written, nobody runs it.
+            self._completer.fence_later(held)
             raise
-        if not _keeps_hold(outcome) and not held.is_fencing:
+        if not _is_granted(outcome) and not held.is_fencing:
             del self._held[name]
         return outcome
 
     async def store_answer(
         self, claim: Granted, answer: StoredAnswer
     ) -> Result[None, ClaimError]:
-        """Keep the answer for resends.
+        """Store the answer for resends.
 
-        On failure the keeper goes on trying by itself; resends through this
-        daemon already get the answer, resends through others are told that the
+        On failure the write is retried in the background. Meanwhile, resends through
+        this daemon get the answer, and resends through others are answered that the
         call is in progress.
         """
         held = self._held.get(claim.key)
         if held is None:
             return Failure(ClaimError("This daemon does not hold the claim."))
         held.answer = answer
-        return await self._ender.settle(claim, answer)
+        return await self._completer.complete(claim, answer)
 
     async def release(self, claim: Granted) -> Result[None, ClaimError]:
-        """Give up a claim whose call is proven to have reached no target."""
+        """Release a claim whose call has provably reached no target."""
         held = self._held.get(claim.key)
         if held is None or held.answer is not None:
             return Failure(ClaimError("The claim is not open."))
         held.is_fencing = True
-        return await self._ender.settle(claim, ClaimState.RELEASED)
+        return await self._completer.complete(claim, ClaimState.RELEASED)
 
     async def abandon(self, claim: Granted) -> None:
-        """Give up a call that may have run and has no answer.
+        """End the claim of a call that may have run and has no answer.
 
-        Resends are told "undetermined" from now on, through every daemon once
-        the store has taken it.
+        Resends are answered "undetermined" from then on; through other daemons, once
+        the row is written.
         """
         held = self._held.get(claim.key)
         if held is not None:
             held.is_unknown = True
-            await self._ender.settle(claim, ClaimState.UNKEPT)
+            await self._completer.complete(claim, ClaimState.UNKEPT)
 
-    def _judge_held(
+    def _outcome_of_held(
         self, held: HeldClaim, fingerprint: BodyFingerprint
     ) -> Result[ClaimOutcome, ClaimError]:
         if held.is_fencing:
-            return Failure(ClaimStoreDown("An earlier try is being given up."))
+            return Failure(ClaimStoreDown("An earlier attempt is being fenced."))
         if held.attempt.row.fingerprint != fingerprint:
             return Success(BodyDiffers())
         if held.answer is not None:
@@ -225,7 +225,7 @@
 
     async def _claim_row(self, held: HeldClaim) -> Result[ClaimOutcome, ClaimError]:
         deadline_seconds = self._clock.now_seconds() + self._limits.wait_seconds
-        for _ in range(_CLAIM_TRIES):
+        for _ in range(_MAX_CLAIM_ATTEMPTS):
             attempt = held.attempt
             outcome = await self._writer.write(
                 attempt.key,
@@ -237,31 +237,31 @@
                 case Success(new_version):
                     return Success(replace(attempt, version=new_version))
                 case Failure(TableConflict()):
-                    decided = await self._claim_moved(held)
+                    decided = await self._resolve_conflict(held)
                     if decided is not None:
                         return decided
                 case Failure(OutcomeUnknown(reason=reason)):
-                    self._ender.fence_later(held)
+                    self._completer.fence_later(held)
                     return Failure(ClaimStoreDown(reason))
                 case Failure(error):
                     return Failure(ClaimStoreDown(error.reason))
-        self._ender.fence_later(held)
-        return Failure(ClaimStoreDown("The claim did not settle."))
+        self._completer.fence_later(held)
+        return Failure(ClaimStoreDown("The claim's outcome was not determined."))
 
-    async def _claim_moved(
+    async def _resolve_conflict(
         self, held: HeldClaim
     ) -> Result[ClaimOutcome, ClaimError] | None:
-        """Decide by the row that broke our condition; None to write again."""
+        """Decide by the row that caused the conflict; None to write again."""
         attempt = held.attempt
         match await self._read_row(attempt.key):
             case Success(current):
                 pass
             case Failure(_):
-                # The key has been used, by an earlier try or by this one.
-                self._ender.fence_later(held)
+                # The key has been used, by an earlier attempt or by this one.
+                self._completer.fence_later(held)
                 return Success(Undetermined(self._daemon))
         if current is None or current.version < attempt.version:
-            # A stale read, or a row that has expired meanwhile.
+            # A stale read, or a row that was removed in the meantime.
             return None
         claimed = decode_claim(current)
         if claimed.token == attempt.row.token:
@@ -269,7 +269,7 @@
         if claimed.state is ClaimState.RELEASED:
             held.attempt = replace(attempt, version=current.version)
             return None
-        return await self._judge_row(claimed, attempt.row.fingerprint)
+        return await self._outcome_of_row(claimed, attempt.row.fingerprint)
 
     def _make_row(self, fingerprint: BodyFingerprint, request: RequestId) -> ClaimRow:
         return ClaimRow(
@@ -282,10 +282,10 @@
             changed_wall_seconds=self._clock.wall_seconds(),
         )
 
-    async def _judge_row(
+    async def _outcome_of_row(
         self, row: ClaimRow, fingerprint: BodyFingerprint
     ) -> Result[ClaimOutcome, ClaimError]:
-        """Tell a resend what became of the call that another try claimed."""
+        """Return the outcome for a resend of a call that another attempt claimed."""
         if row.fingerprint != fingerprint:
             return Success(BodyDiffers())
         match row.state:
@@ -297,7 +297,7 @@
 
     def _is_running(self, row: ClaimRow) -> bool:
         if row.owner == self._daemon:
-            # This daemon has no memory of it, or it would have judged by that.
+            # The claim is from an earlier start: this one does not hold it.
             return False
         return self._owner_is_live(row.owner, row.owner_boot)
 
@@ -310,14 +310,14 @@
                 content_type, _, data = rest.partition(b"\n")
                 answer = StoredAnswer(int(status), content_type.decode(), data)
                 return Success(Answered(answer))
-        # Not an error: an error would say that the call has not run.
+        # Not an error: an error would mean that the call has not run.
         return Success(Undetermined(row.owner))
 
     async def _read_row(self, name: str) -> Result[Row | None, TableError]:
         return (await self._table.read((name,))).map(lambda rows: rows[0])
 
 
-def make_claim_keeper(
+def make_claim_manager(
     table: TablePort,
     objects: ObjectPort,
     clock: Clock,
@@ -326,22 +326,22 @@
     owner_is_live: OwnerIsLive | None = None,
     boot: str = "",
     n_daemons: Callable[[], int] | None = None,
-) -> ClaimKeeper:
-    """Return the claims of one daemon.
+) -> ClaimManager:
+    """Return the manager of one daemon's claims.
 
     Args:
-        table: Where the rows are.
-        objects: Where answers too large for a row are.
+        table: Stores the claim rows.
+        objects: Stores answers that are too large for a row.
         clock: Clock of deadlines and of the rows' ages.
         daemon: This daemon.
-        limits: Bounds.
-        owner_is_live: Whether a daemon with this boot id still runs; when None,
+        limits: Limits of the claims.
+        owner_is_live: Returns whether a daemon with this boot id still runs; if None,
             no other daemon counts as live.
-        boot: Unique for each start of the daemon; made up when empty.
-        n_daemons: How many daemons share the table's writes; when None, as many
-            as today's deployments have.
+        boot: Unique for each start of the daemon; generated if empty.
+        n_daemons: Returns how many daemons share the table's writes; if None, the
+            number in current deployments.
     """
-    return ClaimKeeper(
+    return ClaimManager(
         table,
         objects,
         clock,
@@ -353,5 +353,5 @@
     )
 
 
-def _keeps_hold(outcome: Result[ClaimOutcome, ClaimError]) -> bool:
+def _is_granted(outcome: Result[ClaimOutcome, ClaimError]) -> bool:
     return isinstance(outcome, Success) and isinstance(outcome.unwrap(), Granted)
--- a/lycheepost/state/customerquotas.py
+++ b/lycheepost/state/customerquotas.py
@@ -1,4 +1,4 @@
-"""Customers' quotas as a configuration holds them, in the decisions' own records."""
+"""Convert customers' quotas of a configuration to records of the decision logic."""
 
 from lycheepost.core.ids import CustomerId
 from lycheepost.core.quotas import Quota, QuotaUnit
@@ -6,7 +6,7 @@
 
 
 def to_quota(written: CustomerQuota) -> Quota:
-    """Return a quota as a configuration states it."""
+    """Convert a quota of a configuration."""
     return Quota(
         QuotaUnit(written.unit.value),
         written.rate_per_second,
@@ -16,12 +16,12 @@
 
 
 def quota_of(customer: Customer) -> Quota | None:
-    """Return a customer's quota; None where it has none."""
+    """Return a customer's quota; None if it has none."""
     return None if customer.quota is None else to_quota(customer.quota)
 
 
 def list_quotas(customers: dict[CustomerId, Customer]) -> dict[CustomerId, Quota]:
-    """Return the quotas of those customers that have one."""
+    """Return the quotas of all customers that have one."""
     return {
         name: quota
         for name, customer in customers.items()
--- a/lycheepost/state/deltas.py
+++ b/lycheepost/state/deltas.py
@@ -1,9 +1,9 @@
 """Differences between two configurations, by section and item name.
 
-A whole configuration at the size to design for (12,000 targets, 990 customers)
-is about 3 MB; with 64,000 changes a day no daemon could fetch it with each one
-inside 2 KB a second. A change touches a few items, so a revision travels and is
-stored as the items that it sets and the names that it removes.
+A complete configuration at the design size (12,000 targets, 990 customers) is about
+3 MB; with 64,000 changes a day, fetching it for each change would exceed a daemon's
+budget of 2 KB a second. A change affects few items, so a revision is sent and stored as
+the items that it sets and the names of those that it removes.
 """
 
 from collections.abc import Iterable, Mapping
@@ -23,7 +23,7 @@
     "capacity_intents": "intent",
     "applied_plans": "plan",
 }
-"""The field that names an item, for each section."""
+"""The name field of the items in each section."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,9 +31,9 @@
     """What one revision changes.
 
     Attributes:
-        revision: The revision that it makes of the one before.
-        token: Unique for each try to commit; tells one's own change.
-        changes: A configuration that holds only the items which are set.
+        revision: The revision that results from applying it.
+        token: Unique for each attempt to commit; identifies the writer's own change.
+        changes: A configuration with only the items that are set.
         removed: Names of removed items, by section.
     """
 
@@ -46,7 +46,7 @@
 def make_delta(
     before: Configuration, after: Configuration, revision: Revision, token: str
 ) -> Delta:
-    """Return what turns ``before`` into ``after`` as ``revision``."""
+    """Return the delta from ``before`` to ``after``, as ``revision``."""
     changed: dict[str, list[Any]] = {}
     removed: dict[str, tuple[str, ...]] = {}
     for section, name_field in _NAME_FIELDS.items():
@@ -60,7 +60,7 @@
 
 
 def apply_delta(before: Configuration, delta: Delta) -> Configuration:
-    """Return the configuration that ``delta`` makes of ``before``."""
+    """Return the result of applying ``delta`` to ``before``."""
     sections = {
         section: _apply_section(
             getattr(before, section),
@@ -74,7 +74,7 @@
 
 
 def apply_all(before: Configuration, deltas: Iterable[Delta]) -> Configuration:
-    """Apply the deltas that follow on each other; ignore all others."""
+    """Apply the consecutive deltas that follow ``before``; ignore all others."""
     current = before
     for delta in sorted(deltas, key=lambda item: item.revision):
         if delta.revision == current.revision + 1:
@@ -89,7 +89,7 @@
 
 
 def encode_delta(delta: Delta) -> bytes:
-    """Return a delta as msgpack, without the fields at their defaults."""
+    """Encode a delta as msgpack, without fields at their default values."""
     return msgspec.msgpack.encode(
         (
             delta.revision,
@@ -104,10 +104,10 @@
 
 
 def decode_delta(data: bytes) -> Delta:
-    """Return the delta that ``encode_delta`` wrote.
+    """Decode a delta written by ``encode_delta``.
 
     Raises:
-        msgspec.MsgspecError: The data is not a delta.
+        msgspec.MsgspecError: The data is not a valid delta.
     """
     revision, token, sections, removed = msgspec.msgpack.decode(
         data, type=tuple[int, str, list[list[dict]], dict[str, tuple[str, ...]]]
@@ -137,7 +137,7 @@
 
 
 def _sparse(item: Any) -> Mapping[str, Any]:
-    """Return an item's fields that differ from their defaults."""
+    """Return the fields of an item that differ from their defaults."""
     return {
         field.name: value
         for field in fields(item)
--- a/lycheepost/state/errors.py
+++ b/lycheepost/state/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the shared state, into which those of the platform are turned."""
+"""Errors of the shared state; errors of the platform are converted into these."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class StateError(LycheepostError):
-    """Shared state could not be read or changed; nothing was changed."""
+    """Reading or changing the shared state failed; nothing was changed."""
 
 
 @dataclass(frozen=True)
@@ -16,7 +16,7 @@
     """Another change was accepted first.
 
     Attributes:
-        current: The revision in force now, as far as this daemon knows.
+        current: The revision in force, as far as this daemon knows.
     """
 
     current: Revision = Revision(0)
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True)
 class StoreUnreachable(StateError):
-    """The table service did not take the call; nothing was changed."""
+    """The table service did not accept the call; nothing was changed."""
 
 
 @dataclass(frozen=True)
 class CommitUnknown(StateError):
-    """The answer was lost and could not be settled in time.
+    """The response was lost and the outcome could not be determined in time.
 
-    The change may be in force now or shortly; reading the configuration tells.
+    The change may be in force now or soon; reading the configuration shows whether.
     """
--- a/lycheepost/state/feedmirror.py
+++ b/lycheepost/state/feedmirror.py
@@ -1,4 +1,4 @@
-"""A copy of a table that a daemon follows, to answer peers from.
+"""A copy of a table that a daemon follows, used to answer requests of peers.
 
 Pure logic: every method takes ``now_seconds``.
 """
@@ -9,20 +9,21 @@
 
 from lycheepost.ports.feed import ChangedRow, Changes
 
-KEPT_ANSWERS = 256
-"""Answers of the store whose changes are kept apart. A peer that is further behind
-gets the whole table; peers ask twice a second."""
+MAX_STEPS = 256
+"""Responses of the store whose changes are kept separately. A peer that is further
+behind gets the whole table; peers send two requests a second."""
 
-MOST_AGE_SECONDS = 2.4
-"""A copy that was not confirmed for longer is not passed on. The store confirms that of
-a daemon that asks it every 0.8 s; who asks that daemon hears of it within 0.6 s more,
-and who asks through one more within 1.2 s. The rest is for one that dies on the way:
-its place is taken after 0.9 s, and those behind it need not ask the store meanwhile."""
+MAX_AGE_SECONDS = 2.4
+"""A copy that was not confirmed for longer is not forwarded. A daemon that polls the
+store gets a confirmation every 0.8 s; a peer that polls this daemon gets it within
+another 0.6 s, and a peer one more hop away within 1.2 s. The remainder covers the
+failure of an intermediate daemon: it is replaced after 0.9 s, and until then the
+daemons behind it need not read the store."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Step:
-    """What one answer of the store told."""
+    """The changes in one response of the store."""
 
     version: int
     rows: tuple[ChangedRow, ...]
@@ -30,12 +31,12 @@
 
 @dataclass(slots=True)
 class FeedMirror:
-    """One table as the store told it, and how.
+    """One table as reported by the store, with its recent changes.
 
     Attributes:
-        version: The store's version at the last answer; None while it is not known
-            whole.
-        is_lost: The store did not answer the last question.
+        version: The store's version at the last response; None while the copy is
+            incomplete.
+        is_lost: Whether the store did not respond to the last request.
     """
 
     version: int | None = None
@@ -48,20 +49,20 @@
     def take(
         self, changes: Changes, after: int | None, confirmed_seconds: float
     ) -> None:
-        """Take an answer of the store, or of a peer.
+        """Apply a response of the store or of a peer.
 
         Args:
-            changes: What it told.
-            after: The version that was asked for; None for a whole read.
-            confirmed_seconds: When the table was known to be so.
+            changes: The changes in the response.
+            after: The version in the request; None for a full read.
+            confirmed_seconds: When the table was confirmed to be in this state.
         """
         if changes.is_whole:
             self._rows = {}
             self._steps.clear()
             self._base_version = changes.version
         elif after != self.version:
-            # Rows between the two versions were never seen here. Told to a peer as
-            # all that changed, they would be missing there for good.
+            # Changes between the two versions are missing here. If the response were
+            # forwarded as complete, peers would miss them permanently.
             self.version = None
             return
         for row in changes.rows:
@@ -71,29 +72,29 @@
                 self._rows[row.key] = row.value
         if changes.rows:
             self._steps.append(_Step(changes.version, changes.rows))
-        while len(self._steps) > KEPT_ANSWERS:
+        while len(self._steps) > MAX_STEPS:
             self._base_version = self._steps.popleft().version
         self.version = changes.version
         self._confirmed_seconds = confirmed_seconds
         self.is_lost = False
 
     def note_lost(self) -> None:
-        """Take note that the store did not answer."""
+        """Record that the store did not respond."""
         self.is_lost = True
 
     def confirmed_after_seconds(self, since_seconds: float) -> float:
-        """Return when it was last confirmed, counted from ``since_seconds``."""
+        """Return the time of the last confirmation, relative to ``since_seconds``."""
         return self._confirmed_seconds - since_seconds
 
-    def knows(self, now_seconds: float) -> bool:
-        """Tell whether it is fresh enough to be passed on."""
+    def is_fresh(self, now_seconds: float) -> bool:
+        """Return whether the copy is fresh enough to be forwarded."""
         age_seconds = now_seconds - self._confirmed_seconds
-        return not self.is_lost and age_seconds <= MOST_AGE_SECONDS
+        return not self.is_lost and age_seconds <= MAX_AGE_SECONDS
 
     def changes_after(self, after: int) -> Changes | None:
-        """Return the changes after a version; None where that lies ahead.
+        """Return the changes after a version; None if this copy is behind it.
 
-        Whoever asked may have heard the store itself since the last answer here.
+        The requesting peer may have received a newer response from the store itself.
         """
         if self.version is None or after > self.version:
             return None
--- a/lycheepost/state/leases.py
+++ b/lycheepost/state/leases.py
@@ -1,16 +1,16 @@
 """Leases with fencing numbers for duties that one daemon at a time may hold.
 
-The table has no clock of ours and wall clocks differ, so a lease carries only
-its length. A daemon that wants a lease watches the row: when its version has
-not moved for the lease's length plus a margin on the watcher's own clock, the
-holder's lease has run out, because the holder counts from before it sent its
-last renewal and stops a margin earlier.
-
-The fencing number rises by one with each new holder, in the same transaction
-that takes the lease, and goes with every order. Targets that check it refuse a
-late order. For targets that ignore it the holder asks ``is_held`` at each send,
-by a clock that counts suspension, and the next holder has waited out the old
-lease before it starts.
+The table offers no shared clock and wall clocks differ, so a lease row stores only
+the lease's length. A daemon that wants the lease polls the row: if its version has
+not changed for the lease's length plus a margin on the daemon's own clock, the lease
+has expired, because the holder counts from before it sent its last renewal and stops
+a margin earlier.
+
+The fencing number increases by one with each new holder, in the transaction that
+acquires the lease, and is sent with every order. Targets that check it refuse late
+orders. For targets that ignore it, the holder calls ``is_held`` before each order,
+using a clock that includes time spent suspended, and the next holder waits until the
+old lease has expired.
 """
 
 import math
@@ -34,13 +34,14 @@
     Transaction,
     Write,
 )
+from lycheepost.state.commit_retry import commit_with_retry
 from lycheepost.state.errors import StateError
-from lycheepost.state.settle import commit_settled
 from lycheepost.utils.decoding import UNREADABLE
 
-TOLD_SECONDS = 1.3
-"""For so long after a holder's word nobody else looks at the row. Holders renew every
-0.8 s; one that falls silent is looked after well before its lease runs out."""
+RENEWAL_REPORT_VALID_SECONDS = 1.3
+"""Other daemons skip reading the row for this long after the holder reports a renewal.
+Holders renew every 0.8 s, so polling resumes well before the lease of a silent holder
+expires."""
 
 _KEY_PREFIX = "lease/"
 _log = structlog.get_logger(part="leases")
@@ -53,10 +54,10 @@
 
 @dataclass(frozen=True)
 class LeaseTaken(LeaseError):
-    """Another daemon holds the lease, or may still.
+    """Another daemon holds the lease, or may still hold it.
 
     Attributes:
-        retry_after_seconds: When another try may succeed.
+        retry_after_seconds: Time until another attempt may succeed.
     """
 
     holder: DaemonId = DaemonId("")
@@ -65,15 +66,15 @@
 
 @dataclass(frozen=True)
 class LeaseLost(LeaseError):
-    """The lease has run out or somebody else has taken it."""
+    """The lease has expired or another daemon has acquired it."""
 
 
 @dataclass(frozen=True)
 class OwnRowMoved(TableConflict):
-    """An earlier renewal of the same lease has moved the row.
+    """An earlier renewal of the same lease has changed the row's version.
 
     Attributes:
-        version: Version of the row now.
+        version: Current version of the row.
     """
 
     version: int = 0
@@ -85,13 +86,13 @@
 
     Attributes:
         token: The same for all renewals of a lease; empty when it was released.
-        attempt: Different for each write, so that a holder whose answer was lost
-            never takes an earlier renewal of its own, read back, for the one that
-            it has just tried: it would count its lease from too late.
-        rest_seconds: In the row of a lease that was given up: how long from then on
-            no other daemon may order, for the orders of this holder and those before.
-        inherited_rest_seconds: The same for this holder itself: for the orders of
-            those before it.
+        attempt: Unique for each write. A holder whose response was lost could
+            otherwise mistake an earlier renewal, read back, for the latest one and
+            count its lease from too late.
+        rest_seconds: In a released row: how long after the release no other daemon
+            may send orders, because of orders of this holder and earlier ones.
+        inherited_rest_seconds: The same for this holder, because of orders of
+            earlier holders.
     """
 
     holder: DaemonId
@@ -108,13 +109,14 @@
     """A lease that this daemon holds until ``until_seconds`` of its own clock.
 
     Attributes:
-        until_seconds: End of the lease less the margin, by a clock that counts
-            suspension.
+        until_seconds: End of the lease minus the margin, by a clock that includes
+            time spent suspended.
         version: Version of the row, for the next renewal.
-        rests_until_seconds: No order before this time: the holder before gave the
-            lease up and may have sent its last order just then.
-        others_rest_until_seconds: No order of another daemon before this time: an
-            earlier start of this one gave the lease up after its orders.
+        orders_from_seconds: Earliest time at which this holder may send orders: the
+            previous holder may have sent its last order when it released the lease.
+        others_order_from_seconds: Earliest time at which another daemon may send
+            orders: an earlier start of this daemon released the lease after sending
+            orders.
     """
 
     duty: str
@@ -122,45 +124,44 @@
     fencing_number: FencingNumber
     until_seconds: float
     version: int
-    rests_until_seconds: float = float("-inf")
-    others_rest_until_seconds: float = float("-inf")
+    orders_from_seconds: float = float("-inf")
+    others_order_from_seconds: float = float("-inf")
 
     def is_held(self, now_seconds: float) -> bool:
-        """Return whether an order may be sent now; ask again at each send."""
-        return self.rests_until_seconds <= now_seconds < self.until_seconds
+        """Return whether an order may be sent now; call before each order."""
+        return self.orders_from_seconds <= now_seconds < self.until_seconds
 
-    def is_kept(self, now_seconds: float) -> bool:
-        """Return whether nobody else can have taken it."""
+    def is_unexpired(self, now_seconds: float) -> bool:
+        """Return whether no other daemon can have acquired the lease yet."""
         return now_seconds < self.until_seconds
 
 
 @dataclass(frozen=True, slots=True)
-class Sighting:
-    """The row of a duty as first seen at this version.
+class RowObservation:
+    """When a version of a duty's row was first seen.
 
     Attributes:
-        is_told: Its holder told of it; the row was not read.
+        is_reported: The holder reported the version; the row was not read.
     """
 
     version: int
     seen_seconds: float
-    is_told: bool = False
+    is_reported: bool = False
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Acquires, renews and releases leases for one daemon.
 
     Args:
-        table: Where the rows are.
-        clock: A clock that counts suspension.
+        table: Stores the lease rows.
+        clock: A clock that includes time spent suspended.
         daemon: This daemon.
         length_seconds: Length of a lease.
-        margin_seconds: How long before the end its holder stops, and how long
-            after the end another daemon waits. It covers clock drift and orders
-            still on their way.
-        rest_seconds: How long after the last order of a daemon that gave the lease up
-            another one sends none; targets that tell holders apart only by the time
-            between their orders need it.
+        margin_seconds: How long before the end the holder stops, and how long after
+            the end another daemon waits. Covers clock drift and orders in flight.
+        rest_seconds: Pause between the last order of a daemon that released the lease
+            and the first order of another. Required by targets that distinguish
+            holders only by the time between orders.
     """
 
     def __init__(
@@ -180,10 +181,10 @@
         self._length_seconds = length_seconds
         self._margin_seconds = margin_seconds
         self._rest_seconds = rest_seconds
-        self._sightings: dict[str, Sighting] = {}
+        self._observations: dict[str, RowObservation] = {}
 
     async def acquire(self, duty: str) -> Result[Lease, LeaseError]:
-        """Take the lease of ``duty`` if it is free or has run out."""
+        """Acquire the lease of ``duty`` if it is free or has expired."""
         match await self._table.read((_key(duty),)):
             case Success((row,)):
                 pass
@@ -202,88 +203,92 @@
             return Failure(LeaseTaken(reason, held.holder, wait_seconds))
         number = FencingNumber(1 if held is None else held.fencing_number + 1)
         version = ABSENT_VERSION if row is None else row.version
-        taken = await self._take(duty, version, secrets.token_hex(8), number)
+        taken = await self._write_lease(duty, version, secrets.token_hex(8), number)
         match taken:
             case Success(lease):
                 _log.info("leases: acquired", duty=duty, fencing_number=number)
-                return Success(self._rested(lease, held))
+                return Success(self._with_order_pause(lease, held))
         return taken
 
-    def _rested(self, lease: Lease, before: LeaseRow | None) -> Lease:
-        """Add the rest that is due after another daemon's release."""
+    def _with_order_pause(self, lease: Lease, before: LeaseRow | None) -> Lease:
+        """Add the pause in orders that the released row ``before`` asks for."""
         if before is None or before.token:
             return lease
         now_seconds = self._clock.now_seconds()
         others_until_seconds = now_seconds + before.rest_seconds
         if before.holder != self._daemon:
-            return replace(lease, rests_until_seconds=others_until_seconds)
+            return replace(lease, orders_from_seconds=others_until_seconds)
         return replace(
             lease,
-            rests_until_seconds=now_seconds + before.inherited_rest_seconds,
-            others_rest_until_seconds=others_until_seconds,
+            orders_from_seconds=now_seconds + before.inherited_rest_seconds,
+            others_order_from_seconds=others_until_seconds,
         )
 
-    def note_told(self, duty: str, version: int) -> None:
-        """Take from its holder that it has just written the row of a duty.
+    def note_renewed(self, duty: str, version: int) -> None:
+        """Record the holder's report that it has written the row of a duty.
 
-        Heard later than it was written, so that whoever counts the lease from here
-        waits no shorter than one who has read the row.
+        The report arrives after the write, so counting the lease from its arrival
+        waits at least as long as counting from a read of the row.
         """
-        seen = self._sightings.get(duty)
+        seen = self._observations.get(duty)
         if seen is None or seen.version < version:
             now_seconds = self._clock.now_seconds()
-            self._sightings[duty] = Sighting(version, now_seconds, is_told=True)
+            self._observations[duty] = RowObservation(
+                version, now_seconds, is_reported=True
+            )
 
     def note_released(self, duty: str) -> None:
-        """Take from its holder that it has given the lease up."""
-        seen = self._sightings.get(duty)
+        """Record the holder's report that it has released the lease."""
+        seen = self._observations.get(duty)
         if seen is not None:
-            self._sightings[duty] = replace(seen, is_told=False)
+            self._observations[duty] = replace(seen, is_reported=False)
 
-    def was_told(self, duty: str) -> bool:
-        """Tell whether the holder has told of a renewal just now."""
-        seen = self._sightings.get(duty)
-        if seen is None or not seen.is_told:
+    def is_renewal_reported(self, duty: str) -> bool:
+        """Return whether the holder has recently reported a renewal."""
+        seen = self._observations.get(duty)
+        if seen is None or not seen.is_reported:
             return False
-        return self._clock.now_seconds() < seen.seen_seconds + TOLD_SECONDS
+        return (
+            self._clock.now_seconds() < seen.seen_seconds + RENEWAL_REPORT_VALID_SECONDS
+        )
 
     async def renew(self, lease: Lease) -> Result[Lease, LeaseError]:
-        """Prolong a lease; keep the returned one instead.
+        """Renew a lease; the returned lease replaces ``lease``.
 
-        One that has run out by our own clock may be prolonged too: if another
-        daemon has taken it the row has moved, and the renewal is refused.
+        A lease that has expired by the local clock may be renewed too: if another
+        daemon has acquired it, the row's version has changed and the renewal fails.
         """
-        renewed = await self._take(
+        renewed = await self._write_lease(
             lease.duty, lease.version, lease.token, lease.fencing_number
         )
         return renewed.map(
             lambda taken: replace(
                 taken,
-                rests_until_seconds=lease.rests_until_seconds,
-                others_rest_until_seconds=lease.others_rest_until_seconds,
+                orders_from_seconds=lease.orders_from_seconds,
+                others_order_from_seconds=lease.others_order_from_seconds,
             )
         )
 
     async def release(
         self, lease: Lease, last_order_seconds: float = math.inf
     ) -> Result[None, LeaseError]:
-        """Give the lease up, so that another daemon need not wait it out.
+        """Release the lease, so that another daemon need not wait for it to expire.
 
-        The next holder rests only for what is left of the time after the last order:
-        where each daemon is stopped in turn, and each rested anew for the full time,
-        none would ever order.
+        The next holder pauses only for the remainder of the rest after the last order.
+        If each pause lasted the full time, no daemon would ever send orders while all
+        daemons are restarted in turn.
 
         Args:
             lease: The lease.
-            last_order_seconds: When its holder last sent an order; infinite when that
-                is not known and may have been just now.
+            last_order_seconds: When the holder last sent an order; infinite if unknown,
+                which is treated as now.
         """
         now_seconds = self._clock.now_seconds()
         since_seconds = now_seconds - min(now_seconds, last_order_seconds)
-        inherited = max(0.0, lease.rests_until_seconds - now_seconds)
+        inherited = max(0.0, lease.orders_from_seconds - now_seconds)
         own = max(
             self._rest_seconds - since_seconds,
-            lease.others_rest_until_seconds - now_seconds,
+            lease.others_order_from_seconds - now_seconds,
         )
         row = replace(
             self._make_row("", lease.fencing_number),
@@ -304,12 +309,12 @@
         if row is None or held is None or not held.token:
             return 0.0
         now_seconds = self._clock.now_seconds()
-        seen = self._sightings.get(duty)
+        seen = self._observations.get(duty)
         if seen is None or seen.version < row.version:
-            # A lower version is a stale read: it must not restart the wait,
-            # nor make an older holder look expired.
-            seen = Sighting(row.version, now_seconds)
-            self._sightings[duty] = seen
+            # A lower version is a stale read: it must neither restart the wait nor
+            # make an older holder look expired.
+            seen = RowObservation(row.version, now_seconds)
+            self._observations[duty] = seen
         end_seconds = seen.seen_seconds + held.length_seconds + self._margin_seconds
         return max(0.0, end_seconds - now_seconds)
 
@@ -317,22 +322,22 @@
         attempt = secrets.token_hex(8)
         return LeaseRow(self._daemon, token, number, self._length_seconds, attempt)
 
-    async def _take(
+    async def _write_lease(
         self, duty: str, version: int, token: str, number: FencingNumber
     ) -> Result[Lease, LeaseError]:
-        # Counted from before the write: whoever reads the row starts to wait
-        # later than this, however long the store takes to answer.
+        # Counted from before the write: any daemon that reads the row starts its wait
+        # later than this, however long the store takes to respond.
         start_seconds = self._clock.now_seconds()
         until_seconds = start_seconds + self._length_seconds - self._margin_seconds
         written = await self._commit(duty, version, self._make_row(token, number))
         match written:
             case Success(new_version):
                 lease = Lease(duty, token, number, until_seconds, new_version)
-                if lease.is_kept(self._clock.now_seconds()):
+                if lease.is_unexpired(self._clock.now_seconds()):
                     return Success(lease)
-                return Failure(LeaseLost("The store answered after the lease."))
+                return Failure(LeaseLost("The store answered after the lease expired."))
             case Failure(OwnRowMoved(version=new_version)):
-                return await self._take(duty, new_version, token, number)
+                return await self._write_lease(duty, new_version, token, number)
             case Failure(TableConflict(reason=reason)):
                 return Failure(LeaseLost(f"{duty}: {reason}"))
             case Failure(error):
@@ -347,7 +352,7 @@
             (Write(_key(duty), msgspec.json.encode(row)),),
         )
         deadline_seconds = self._clock.now_seconds() + self._margin_seconds
-        outcome = await commit_settled(
+        outcome = await commit_with_retry(
             self._table, transaction, self._clock, deadline_seconds
         )
         match outcome:
@@ -362,14 +367,14 @@
     async def _read_own(
         self, duty: str, version: int, row: LeaseRow, conflict: TableConflict
     ) -> Result[int, TableError]:
-        """Tell this write, an earlier one of our own and another daemon's apart."""
+        """Determine whether this write, an earlier own one or another daemon's won."""
         match await self._table.read((_key(duty),)):
             case Success((Row() as found,)) if found.version > version:
                 held = decode_lease(found).value_or(None)
                 if held == row:
                     return Success(found.version)
                 if held is not None and row.token and held.token == row.token:
-                    # Each time the version is higher, so this comes to an end.
+                    # The version is higher each time, so the retries terminate.
                     return Failure(OwnRowMoved(conflict.reason, (), found.version))
             case Failure(error):
                 return Failure(error)
@@ -381,14 +386,14 @@
 
 
 def decode_lease(row: Row) -> Result[LeaseRow, LeaseError]:
-    """Return the row of a duty.
+    """Decode the lease row of a duty.
 
-    One that cannot be read may be another release's lease. It is left alone, as
-    there would be no way to tell when its holder stops.
+    A row that cannot be decoded may be a lease written by another release. It is not
+    overwritten, because there is no way to know when its holder stops.
     """
     try:
         return Success(msgspec.json.decode(row.value, type=LeaseRow))
     except UNREADABLE as error:
-        reason = f"The row {row.key} cannot be read: {error}"
-        _log.error("leases: row cannot be read", key=row.key, reason=reason)
+        reason = f"The row {row.key} cannot be decoded: {error}"
+        _log.error("leases: row cannot be decoded", key=row.key, reason=reason)
         return Failure(LeaseError(reason))
--- a/lycheepost/state/memberrows.py
+++ b/lycheepost/state/memberrows.py
@@ -1,8 +1,8 @@
-"""Daemons find each other through rows of their own in the table.
+"""Discovery of daemons through rows in the table.
 
-Each daemon writes one row when it starts and removes it when it leaves. A daemon
-that dies leaves its row behind; that a row exists says only where to ask, and
-whoever does not answer there is no member.
+Each daemon writes one row when it starts and removes it when it leaves. A daemon that
+dies leaves its row behind: a row only gives an address to contact, and a daemon that
+does not respond there is not a member.
 """
 
 from dataclasses import dataclass
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRow:
-    """Where one daemon is reached."""
+    """Addresses of one daemon."""
 
     availability_zone: str
     host: str
@@ -45,7 +45,7 @@
     """Implements ``ports.vms.VmListPort`` over the rows of the daemons.
 
     Args:
-        table: Where the rows are.
+        table: Stores the rows.
     """
 
     def __init__(self, table: TablePort) -> None:
@@ -68,11 +68,11 @@
     async def register(
         self, daemon: DaemonId, member: MemberRow
     ) -> Result[None, TableError]:
-        """Write the row of this daemon, over that of an earlier start."""
+        """Write the row of this daemon, replacing that of an earlier start."""
         return await self._write(daemon, msgspec.json.encode(member))
 
     async def remove(self, daemon: DaemonId, boot: str) -> Result[None, TableError]:
-        """Remove this start's row; another start's is left as it is."""
+        """Remove the row if this start wrote it; keep one of another start."""
         match await self._table.read((_key(daemon),)):
             case Success((Row() as row,)) if _boot_of(row) == boot:
                 return await self._commit(daemon, row.version, None)
@@ -98,7 +98,7 @@
             case Success():
                 return Success(None)
             case Failure(TableConflict() as error):
-                _log.info("members: row moved", daemon=daemon)
+                _log.info("members: row changed concurrently", daemon=daemon)
                 return Failure(error)
             case Failure(error):
                 return Failure(error)
@@ -110,11 +110,11 @@
 
 
 def _decode(row: Row) -> MemberRow | None:
-    """Return a daemon's row; None when another release wrote it in another shape."""
+    """Decode a daemon's row; None if another release wrote it in another format."""
     try:
         return msgspec.json.decode(row.value, type=MemberRow)
     except UNREADABLE as error:
-        _log.error("members: row cannot be read", key=row.key, reason=str(error))
+        _log.error("members: row cannot be decoded", key=row.key, reason=str(error))
         return None
 
 
@@ -124,7 +124,7 @@
 
 
 def to_vm(row: Row) -> Vm | None:
-    """Return the daemon of a row; None when the row cannot be read."""
+    """Return the daemon of a row; None if the row cannot be decoded."""
     member = _decode(row)
     if member is None:
         return None
