--- a/lycheepost/state/members.py
+++ b/lycheepost/state/members.py
@@ -1,13 +1,13 @@
-"""The daemons and targets as this daemon sees them.
+"""This daemon's view of the daemons and targets.
 
-Sources are the platform's VM list, which lags, and what daemons see themselves:
-announcements, lost links, health answers, refused connections. For new work the
-most pessimistic sign counts. Absence from the VM list is no sign: a listing may
-be partial, and a VM that is gone shows by its silence anyway.
+The sources are the platform's VM list, which lags, and what daemons observe
+themselves: announcements, lost links, health responses, refused connections. For new
+work the most pessimistic signal counts. Absence from the VM list is not a signal: a
+listing may be partial, and a VM that is gone stops responding anyway.
 
-The VM list is large, so a daemon looks at it as often as its size allows
-(``_LIST_BYTES_PER_SECOND``), and tells its peers what changed: with more
-daemons each looks less often, and the fleet looks as often as before.
+The VM list is large, so a daemon polls it as often as its size allows
+(``_LIST_BYTES_PER_SECOND``) and notifies its peers of changes. In a larger fleet each
+daemon polls less often, while the rate of the whole fleet stays the same.
 """
 
 import asyncio
@@ -29,31 +29,31 @@
     choose_addresses,
     load_step,
 )
-from lycheepost.state.memberrules import MOST_SECONDS, differs, is_newer
-from lycheepost.state.signs import LISTED_VALID_SECONDS, SignSource, TargetSign
-from lycheepost.state.targetstates import OnTargetSign, TargetStates
+from lycheepost.state.memberrules import MAX_STATE_SECONDS, differs, is_newer
+from lycheepost.state.signals import LISTED_VALID_SECONDS, SignalSource, TargetSignal
+from lycheepost.state.targetstates import OnTargetSignal, TargetStates
 from lycheepost.state.view import ConfigurationView
 from lycheepost.utils.tasks import start_task
 
 _VM_BYTES = 120
 _LIST_BYTES_PER_SECOND = 1000.0
-"""Half of the 2 KB a second that control may cost a daemon. With 12,540 VMs a
-daemon looks every 25 minutes, and 540 daemons look every 2.8 seconds together."""
-_LOAD_NEWS_SECONDS = 10.0
-_FLEET_LOAD_NEWS_SECONDS = 2.0
-"""The whole fleet tells one change of load in two seconds at most: a flood costs
-each daemon about 2 KB, which is all that control may cost in a second."""
+"""Half of the 2 KB a second that a daemon may use for control traffic. With 12,540 VMs
+a daemon polls every 25 minutes, and 540 daemons together poll every 2.8 seconds."""
+_MIN_LOAD_UPDATE_SECONDS = 10.0
+_FLEET_LOAD_UPDATE_SECONDS = 2.0
+"""The fleet publishes at most one load change per two seconds: broadcasting one costs
+each daemon about 2 KB, the whole control budget of a second."""
 _log = structlog.get_logger(part="members")
 
 OnMember = Callable[[Member], None]
-ChooseEntry = Callable[[tuple[Member, ...]], frozenset[DaemonId]]
+ChooseEntryDaemons = Callable[[tuple[Member, ...]], frozenset[DaemonId]]
 
 
-class MemberKeeper:
-    """Members and targets of one daemon; made by ``make_member_keeper``.
+class MemberManager:
+    """Members and targets known to a daemon; created by ``make_member_manager``.
 
     Attributes:
-        n_changes: Rises with each change of a member.
+        n_changes: Increases with each change of a member.
     """
 
     def __init__(
@@ -65,13 +65,13 @@
         poll_seconds: float,
         addresses_valid_seconds: float,
         seed: int,
-        names_unheard: bool = True,
-        choose_entry: ChooseEntry | None = None,
+        includes_unconfirmed: bool = True,
+        choose_entry_daemons: ChooseEntryDaemons | None = None,
         fleet_poll_seconds: float = 0.0,
     ) -> None:
         self._fleet_poll_seconds = fleet_poll_seconds
-        self._names_unheard = names_unheard
-        self._choose_entry = choose_entry
+        self._includes_unconfirmed = includes_unconfirmed
+        self._choose_entry_daemons = choose_entry_daemons
         self._entry: frozenset[DaemonId] | None = None
         self._vm_list = vm_list
         self._clock = clock
@@ -83,27 +83,27 @@
         self._members: dict[DaemonId, Member] = {me.daemon: me}
         self._since_seconds: dict[DaemonId, float] = {}
         self._targets = TargetStates()
-        self._answers: dict[CustomerId | None, Addresses] = {}
-        self._answers_view: ConfigurationView | None = None
+        self._address_cache: dict[CustomerId | None, Addresses] = {}
+        self._address_cache_view: ConfigurationView | None = None
         self._listed: dict[str, VmState] = {}
         self._n_vms = 0
         self._task: asyncio.Task[None] | None = None
         self._on_member: list[OnMember] = []
-        self._load_news_seconds = float("-inf")
+        self._load_published_seconds = float("-inf")
         self.n_changes = 0
         self.n_lists = 0
         self.n_failed_lists = 0
 
     async def start(self) -> None:
-        """Start to look at the VM list."""
+        """Start polling the VM list."""
         self._task = start_task(self._run(), "members")
 
     async def drain(self) -> None:
-        """Leave the addresses answers, here and through the peers."""
+        """Announce leaving, so that address responses no longer name this daemon."""
         self.announce_leaving()
 
     async def stop(self) -> None:
-        """Stop looking."""
+        """Stop polling."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -122,64 +122,64 @@
             },
         }
 
-    def on_target_sign(self, callback: OnTargetSign) -> None:
-        """Call ``callback`` with signs that peers should hear of."""
-        self._targets.on_sign(callback)
+    def on_target_signal(self, callback: OnTargetSignal) -> None:
+        """Call ``callback`` with each target signal to send to peers."""
+        self._targets.on_signal(callback)
 
     def on_member(self, callback: OnMember) -> None:
-        """Call ``callback`` with members whose state peers should hear of."""
+        """Call ``callback`` with each member whose state is to be sent to peers."""
         self._on_member.append(callback)
 
     def addresses(self, customer: CustomerId | None, now_seconds: float) -> Addresses:
-        """Return where callers of ``customer`` should connect, in order."""
+        """Return the addresses for callers of ``customer``, in order of preference."""
         self._expire(now_seconds)
         view = self._get_view()
-        if view is not self._answers_view:
-            self._answers_view = view
-            self._answers.clear()
-        answer = self._answers.get(customer)
+        if view is not self._address_cache_view:
+            self._address_cache_view = view
+            self._address_cache.clear()
+        answer = self._address_cache.get(customer)
         if answer is None:
-            # Choosing among 540 members takes most of a millisecond.
+            # Cached: choosing among 540 members takes most of a millisecond.
             answer = self._choose(customer)
-            self._answers[customer] = answer
+            self._address_cache[customer] = answer
         return answer
 
     def _choose(self, customer: CustomerId | None) -> Addresses:
         chosen = choose_addresses(
-            self._nameable(),
+            self._eligible_members(),
             customer,
             self._me.availability_zone,
             self._traffic_share(customer),
-            None if self._choose_entry is None else self.entry(),
+            None if self._choose_entry_daemons is None else self.entry(),
         )
         return Addresses(chosen, self._addresses_valid_seconds)
 
     def entry(self) -> frozenset[DaemonId]:
-        """Return the daemons that carry the traffic, among those heard of."""
+        """Return the entry daemons, which carry the traffic."""
         if self._entry is None:
-            nameable = self._nameable()
-            names = frozenset(member.daemon for member in nameable)
-            choose = self._choose_entry
-            self._entry = names if choose is None else choose(nameable)
+            eligible = self._eligible_members()
+            names = frozenset(member.daemon for member in eligible)
+            choose = self._choose_entry_daemons
+            self._entry = names if choose is None else choose(eligible)
         return self._entry
 
-    def choose_anew(self) -> None:
-        """Choose answers and entry daemons anew: what they rest on has changed."""
+    def invalidate_choices(self) -> None:
+        """Discard the cached addresses and entry daemons after a change."""
         self.n_changes += 1
-        self._answers.clear()
+        self._address_cache.clear()
         self._entry = None
 
-    def _nameable(self) -> tuple[Member, ...]:
-        """Return the daemons that an answer may name.
+    def _eligible_members(self) -> tuple[Member, ...]:
+        """Return the daemons that an address response may name.
 
-        Where the list is made of rows that daemons write themselves, one that died
-        left its row behind. A daemon that starts later would name it until its
-        silence shows; so only those that have been heard of are named.
+        If the list consists of rows that daemons write themselves, a daemon that died
+        leaves its row behind. A daemon started later would name it until it is found
+        unreachable, so only daemons that have sent a message are named.
         """
         return tuple(
             member
             for member in self._members.values()
-            if self._names_unheard or member.boot
+            if self._includes_unconfirmed or member.boot
         )
 
     def target_states(self) -> dict[TargetId, TargetState]:
@@ -193,19 +193,19 @@
         return self._targets.state(target, configured, self._clock.now_seconds())
 
     def observe_target(
-        self, target: TargetId, sign: TargetSign, now_seconds: float
+        self, target: TargetId, signal: TargetSignal, now_seconds: float
     ) -> None:
-        """Take note of what was seen of a target; peers hear of bad signs."""
+        """Record a signal of a target; peers are notified of bad ones."""
         configured = self._get_view().targets.get(target)
-        self._targets.observe(target, configured, sign, now_seconds)
+        self._targets.observe(target, configured, signal, now_seconds)
 
     def members(self) -> tuple[Member, ...]:
-        """Return every daemon known, this one too."""
+        """Return all known daemons, including this one."""
         self._expire(self._clock.now_seconds())
         return tuple(self._members.values())
 
     def get(self, daemon: DaemonId) -> Member | None:
-        """Return one daemon, or None when it is not known."""
+        """Return one daemon, or None if it is unknown."""
         return self._members.get(daemon)
 
     def me(self) -> Member:
@@ -215,9 +215,9 @@
     def n_live(self) -> int:
         """Return how many daemons are live or suspect; 0 while nothing is known.
 
-        Whoever spreads work over the fleet must wait until it is known: a
-        thousand daemons that each took themselves for the only one would all
-        turn to the table at once.
+        Code that spreads work over the fleet must wait until the number is known: if a
+        thousand daemons each assumed to be the only one, all would read the table at
+        once.
         """
         has_looked = self.n_lists + self.n_failed_lists > 0
         if len(self._members) == 1 and not has_looked:
@@ -226,62 +226,65 @@
         return max(1, sum(member.state in live for member in self._members.values()))
 
     def owner_is_live(self, daemon: DaemonId, boot: str) -> bool:
-        """Return whether this very start of a daemon still runs, as far as known."""
+        """Return whether this incarnation of a daemon still runs, as far as known."""
         member = self._members.get(daemon)
         if member is None or member.state is MemberState.GONE:
             return False
         return not member.boot or member.boot == boot
 
     def add_seed(self, daemon: DaemonId, endpoint: str) -> None:
-        """Take a peer from the settings, to ask before anything else is known."""
+        """Add a peer from the settings, to contact before any other is known."""
         if daemon != self._me.daemon and daemon not in self._members:
             zone = AvailabilityZone("")
             self._put(Member(daemon, "", MemberState.LIVE, zone, "", endpoint))
 
     def set_peer_endpoint(self, endpoint: str) -> None:
-        """Tell where peers reach this daemon, once its socket is open."""
+        """Announce the endpoint for peers, once its socket is open."""
         self._update_me(replace(self._me, peer_endpoint=endpoint))
 
     def set_callers_url(self, url: str) -> None:
-        """Tell where callers reach this daemon, once its listener is open."""
+        """Announce the URL for callers, once its listener is open."""
         self._update_me(replace(self._me, callers_url=url))
 
     def set_load(self, load: float) -> None:
-        """Tell the share of this daemon's capacity that is in use, 0 to 1."""
+        """Announce the share of this daemon's capacity that is in use, 0 to 1."""
         now_seconds = self._clock.now_seconds()
         is_same_step = load_step(load) == load_step(self._me.load)
         interval_seconds = max(
-            _LOAD_NEWS_SECONDS, self.n_live() * _FLEET_LOAD_NEWS_SECONDS
+            _MIN_LOAD_UPDATE_SECONDS, self.n_live() * _FLEET_LOAD_UPDATE_SECONDS
         )
-        if is_same_step or now_seconds - self._load_news_seconds < interval_seconds:
+        if (
+            is_same_step
+            or now_seconds - self._load_published_seconds < interval_seconds
+        ):
             return
-        self._load_news_seconds = now_seconds
+        self._load_published_seconds = now_seconds
         self._update_me(replace(self._me, load=load))
 
     def announce_leaving(self) -> None:
-        """Tell peers that this daemon leaves, or cannot serve for now."""
+        """Notify peers that this daemon is leaving, or cannot serve for now."""
         self._update_me(replace(self._me, state=MemberState.LEAVING))
 
     def announce_live(self) -> None:
-        """Tell peers that this daemon serves again, after it had to step back."""
+        """Notify peers that this daemon serves again after an interruption."""
         if self._me.state is not MemberState.LIVE:
             self._update_me(replace(self._me, state=MemberState.LIVE))
 
-    def hear(self, member: Member) -> bool:
-        """Take what is said of a daemon; return whether it was news."""
+    def merge(self, member: Member) -> bool:
+        """Merge a received member record; return whether it changed anything."""
         if member.daemon == self._me.daemon:
             self._refute(member)
             return False
         known = self._members.get(member.daemon)
         if member.state is MemberState.SUSPECT:
-            return self._hear_suspicion(member, known)
+            return self._merge_suspicion(member, known)
         if known is not None and not is_newer(member, known):
             return False
         self._put(member)
         return known is None or differs(known, member)
 
     def suspect(self, daemon: DaemonId, now_seconds: float) -> None:
-        """Take note that a daemon does not answer, and tell the peers."""
+        """Mark a daemon that does not respond as suspect, and notify the peers."""
         known = self._members.get(daemon)
         if known is None or known.state is not MemberState.LIVE:
             return
@@ -291,17 +294,17 @@
         for callback in self._on_member:
             callback(suspected)
 
-    def take_list(self, vms: tuple[Vm, ...], now_seconds: float) -> None:
-        """Take one look at the VM list."""
+    def apply_vm_list(self, vms: tuple[Vm, ...], now_seconds: float) -> None:
+        """Apply one reading of the VM list."""
         self._n_vms = max(len(vms), 1)
         for vm in vms:
             match vm.role:
                 case VmRole.DAEMON:
-                    self._take_daemon(vm)
+                    self._apply_daemon(vm)
                 case VmRole.TARGET:
-                    self._take_target(vm, now_seconds)
+                    self._apply_target(vm, now_seconds)
 
-    def _take_daemon(self, vm: Vm) -> None:
+    def _apply_daemon(self, vm: Vm) -> None:
         name = DaemonId(vm.name)
         known = self._members.get(name)
         if name == self._me.daemon:
@@ -321,10 +324,10 @@
                 )
             )
 
-    def _take_target(self, vm: Vm, now_seconds: float) -> None:
+    def _apply_target(self, vm: Vm, now_seconds: float) -> None:
         state = TargetState.SERVING if vm.state is VmState.LIVE else TargetState.LEAVING
-        sign = TargetSign(SignSource.VM_LIST, state, LISTED_VALID_SECONDS)
-        self.observe_target(TargetId(vm.name), sign, now_seconds)
+        signal = TargetSignal(SignalSource.VM_LIST, state, LISTED_VALID_SECONDS)
+        self.observe_target(TargetId(vm.name), signal, now_seconds)
 
     def _traffic_share(self, customer: CustomerId | None) -> float:
         customers = self._get_view().customers
@@ -335,76 +338,76 @@
     def _put(self, member: Member) -> None:
         before = self._members.get(member.daemon)
         self._members[member.daemon] = member
-        self.choose_anew()
+        self.invalidate_choices()
         if member.state is MemberState.LIVE or member.daemon == self._me.daemon:
             self._since_seconds.pop(member.daemon, None)
         elif before is None or before.state is not member.state:
             self._since_seconds[member.daemon] = self._clock.now_seconds()
 
     def _update_me(self, member: Member) -> None:
-        is_news = differs(self._me, member)
-        if is_news:
+        is_change = differs(self._me, member)
+        if is_change:
             member = replace(member, sequence=member.sequence + 1)
         self._me = member
         self._put(member)
-        if is_news:
+        if is_change:
             for callback in self._on_member:
                 callback(member)
 
-    def _refute(self, said: Member) -> None:
-        """Say again that this daemon lives when others take it for dead."""
-        if said.boot == self._me.boot and said.state is not self._me.state:
-            sequence = max(said.sequence, self._me.sequence) + 1
+    def _refute(self, received: Member) -> None:
+        """Announce this daemon's state again when peers have a wrong one."""
+        if received.boot == self._me.boot and received.state is not self._me.state:
+            sequence = max(received.sequence, self._me.sequence) + 1
             self._me = replace(self._me, sequence=sequence)
             self._put(self._me)
             for callback in self._on_member:
                 callback(self._me)
 
-    def _hear_suspicion(self, said: Member, known: Member | None) -> bool:
+    def _merge_suspicion(self, received: Member, known: Member | None) -> bool:
         if known is None or known.state is not MemberState.LIVE:
             return False
-        if known.boot != said.boot or known.sequence > said.sequence:
+        if known.boot != received.boot or known.sequence > received.sequence:
             return False
         self._put(replace(known, state=MemberState.SUSPECT))
         return True
 
     def _expire(self, now_seconds: float) -> None:
-        """Take the silent for gone, and forget those who are gone for long."""
+        """Mark members as gone after their time limit, and later remove them."""
         for daemon, since_seconds in list(self._since_seconds.items()):
             member = self._members[daemon]
-            if now_seconds - since_seconds <= MOST_SECONDS[member.state]:
+            if now_seconds - since_seconds <= MAX_STATE_SECONDS[member.state]:
                 continue
             if member.state is MemberState.GONE:
                 del self._members[daemon], self._since_seconds[daemon]
-                self.choose_anew()
+                self.invalidate_choices()
             else:
                 self._put(replace(member, state=MemberState.GONE))
 
-    async def look(self) -> bool:
-        """Look at the VM list once; return whether it answered."""
+    async def poll(self) -> bool:
+        """Poll the VM list once; return whether that succeeded."""
         match await self._vm_list.list_vms():
             case Success(vms):
                 self.n_lists += 1
-                self.take_list(vms, self._clock.now_seconds())
+                self.apply_vm_list(vms, self._clock.now_seconds())
                 return True
             case Failure(error):
                 self.n_failed_lists += 1
-                _log.info("members: list not read", reason=error.reason)
+                _log.info("members: VM list not read", reason=error.reason)
         return False
 
     async def _run(self) -> None:
         while True:
-            await self.look()
-            await asyncio.sleep(self._next_look_seconds())
+            await self.poll()
+            await asyncio.sleep(self._next_poll_seconds())
 
-    def _next_look_seconds(self) -> float:
+    def _next_poll_seconds(self) -> float:
         allowed_seconds = self._n_vms * _VM_BYTES / _LIST_BYTES_PER_SECOND
         shared_seconds = self.n_live() * self._fleet_poll_seconds
         mean_seconds = max(self._poll_seconds, allowed_seconds, shared_seconds)
         return mean_seconds * self._random.uniform(0.5, 1.5)
 
 
-def make_member_keeper(
+def make_member_manager(
     vm_list: VmListPort,
     clock: Clock,
     me: Member,
@@ -412,26 +415,27 @@
     poll_seconds: float = 2.0,
     addresses_valid_seconds: float = 10.0,
     seed: int = 0,
-    names_unheard: bool = True,
-    choose_entry: ChooseEntry | None = None,
+    includes_unconfirmed: bool = True,
+    choose_entry_daemons: ChooseEntryDaemons | None = None,
     fleet_poll_seconds: float = 0.0,
-) -> MemberKeeper:
-    """Return the members and targets of one daemon.
+) -> MemberManager:
+    """Return the manager of the members and targets known to one daemon.
 
     Args:
         vm_list: The platform's list.
         clock: Clock of this daemon.
         me: This daemon, with its availability zone and addresses.
         get_view: Returns the configuration in force.
-        poll_seconds: Shortest time between looks at the list.
-        addresses_valid_seconds: How long callers may keep an answer.
+        poll_seconds: Minimum time between polls of the list.
+        addresses_valid_seconds: How long callers may cache an address response.
         seed: Seed of the jitter.
-        names_unheard: Name daemons in answers that are only on the list.
-        choose_entry: Returns the daemons that carry the traffic, of those that serve;
-            only they are named in answers. None for all.
-        fleet_poll_seconds: Shortest time between looks of any two daemons of the fleet.
+        includes_unconfirmed: Whether address responses may name daemons that are on the
+            list but have sent no message yet.
+        choose_entry_daemons: Returns the entry daemons among those that serve; address
+            responses name only them. None for all daemons.
+        fleet_poll_seconds: Minimum time between polls of any two daemons of the fleet.
     """
-    return MemberKeeper(
+    return MemberManager(
         vm_list,
         clock,
         me,
@@ -439,7 +443,7 @@
         poll_seconds,
         addresses_valid_seconds,
         seed,
-        names_unheard,
-        choose_entry,
+        includes_unconfirmed,
+        choose_entry_daemons,
         fleet_poll_seconds,
     )
--- a/lycheepost/state/wantedweights.py
+++ b/lycheepost/state/namedweights.py
@@ -1,8 +1,8 @@
-"""The weights that operators named, and until when older ones may be served.
+"""The weights versions that operators named, and until when older ones may be served.
 
-Each named version has a time of its own. What a target holds is due with the first
-version above it: one that lags behind by two is due earlier than the others, and
-does not make them due.
+Each named version sets its own deadline for older ones. For a target the deadline of
+the first version above its own applies: a target two versions behind has an earlier
+deadline than the others, without shortening theirs.
 
 Pure logic: every method takes ``now_seconds`` or a time.
 """
@@ -15,23 +15,24 @@
 from lycheepost.core.ids import ModelId, WeightsVersion
 
 OLD_WEIGHTS_MARGIN_SECONDS = 1.5
-"""How long before old weights may no longer be served they get no new requests: one
-that waits in a target's queue begins that much later."""
+"""Old weights get no new requests this long before their deadline, because a request
+may wait that long in a target's queue before it starts."""
 
-OLD_FREE_SECONDS = 1.2
-"""So soon after new weights were named, an answer with older ones is as good."""
+OLD_WEIGHTS_GRACE_SECONDS = 1.2
+"""Old weights have no penalty for this long after new ones were named."""
 
-OLD_WEIGHTS_SECONDS = 0.15
-"""Later it is worth a fifth less to its caller: as much as the risk of missing the
-objective of half a second by a wait of so much longer."""
+OLD_WEIGHTS_PENALTY_SECONDS = 0.15
+"""After the grace period a response with old weights is worth a fifth less to the
+caller: the same loss as the risk of missing the objective of half a second when waiting
+this much longer."""
 
-START_SECONDS = 2.5
-"""How long a daemon that has just started serves weights that it finds outdated. It
-cannot know when the newer ones were named."""
+UNKNOWN_NAMING_GRACE_SECONDS = 2.5
+"""How long a newly started daemon serves weights that it finds outdated, as it does not
+know when the newer ones were named."""
 
-KEPT_VERSIONS = 16
-"""Versions of a model that are remembered; a target that is further behind is due with
-the first of these."""
+MAX_VERSIONS = 16
+"""Versions kept per model; for a target that is further behind, the deadline of the
+first kept one applies."""
 
 _log = structlog.get_logger(part="targets")
 
@@ -41,10 +42,10 @@
     """A version of a model, and until when older ones may be served.
 
     Attributes:
-        version: Its place among the versions of its model.
-        named_seconds: It was named then, as far as known.
-        old_until_seconds: Older ones may be served until then.
-        is_guessed: The time is the guess of a daemon that has just started.
+        version: Ordinal of the version within its model.
+        named_seconds: When the version was named, as far as known.
+        old_until_seconds: Deadline for serving older versions.
+        is_guessed: Whether the time is an assumption of a newly started daemon.
     """
 
     version: int
@@ -54,12 +55,12 @@
 
 
 @dataclass(slots=True)
-class WantedWeights:
-    """What was named for each model, the oldest version first."""
+class NamedWeights:
+    """The named versions of each model, oldest first."""
 
     _named: dict[ModelId, tuple[NamedVersion, ...]] = field(default_factory=dict)
 
-    def want(
+    def add(
         self,
         model: ModelId,
         version: int,
@@ -67,44 +68,44 @@
         bound_seconds: float,
         now_seconds: float,
     ) -> None:
-        """Take a version that an operator named; one that is known stays as it is.
+        """Record a version that an operator named; a known one is not changed.
 
         Args:
             model: The model.
-            version: Place of the version among those of its model.
-            named_seconds: It was named at this time or later; None when it was
-                found at the start and nothing is known.
-            bound_seconds: How long after the naming older ones may be served.
-            now_seconds: The present time.
+            version: Ordinal of the version within its model.
+            named_seconds: The version was named at this time or later; None if it was
+                found at the daemon's start and the time is unknown.
+            bound_seconds: How long older versions may be served after the naming.
+            now_seconds: The current time.
         """
         if named_seconds is None:
-            guess_seconds = now_seconds + START_SECONDS
+            guess_seconds = now_seconds + UNKNOWN_NAMING_GRACE_SECONDS
             named = NamedVersion(version, now_seconds, guess_seconds, is_guessed=True)
         else:
             named = NamedVersion(version, named_seconds, named_seconds + bound_seconds)
         self._add(model, named)
 
-    def note_told(
+    def add_reported(
         self, model: ModelId, version: int, until_seconds: float, now_seconds: float
     ) -> None:
-        """Take from a peer until when weights older than a version may be served.
+        """Record a peer's report of the deadline for weights older than a version.
 
-        The failure: a daemon starts while weights are being changed. It cannot know
-        when they were named, and would soon refuse requests that its peers serve.
+        A daemon that starts during a weights change does not know when the new version
+        was named. Without the report it would refuse requests that its peers serve.
         """
         self._add(model, NamedVersion(version, now_seconds, until_seconds))
 
     def _add(self, model: ModelId, named: NamedVersion) -> None:
-        """Add a version, or put a known time in the place of a guess."""
+        """Add a version, or replace a guessed time by a known one."""
         known = {item.version: item for item in self._named.get(model, ())}
         before = known.get(named.version)
         if before is not None and (not before.is_guessed or named.is_guessed):
             return
         known[named.version] = named
         ordered = sorted(known.values(), key=lambda item: item.version)
-        self._named[model] = tuple(ordered[-KEPT_VERSIONS:])
+        self._named[model] = tuple(ordered[-MAX_VERSIONS:])
         _log.info(
-            "targets: weights are due",
+            "targets: weights version named",
             model=model,
             version=named.version,
             old_until_seconds=round(named.old_until_seconds, 3),
@@ -112,7 +113,7 @@
         )
 
     def known(self) -> Mapping[ModelId, tuple[NamedVersion, ...]]:
-        """Return the versions whose times are no guess."""
+        """Return the versions whose times are known."""
         return {
             model: tuple(item for item in versions if not item.is_guessed)
             for model, versions in self._named.items()
@@ -121,7 +122,7 @@
     def is_outdated(
         self, weights: Mapping[ModelId, WeightsVersion], now_seconds: float
     ) -> bool:
-        """Tell whether a target's weights may no longer be served."""
+        """Return whether a target's weights may no longer be served."""
         return any(
             now_seconds >= named.old_until_seconds for named in self._above(weights)
         )
@@ -129,15 +130,15 @@
     def penalty_seconds(
         self, weights: Mapping[ModelId, WeightsVersion], now_seconds: float
     ) -> float:
-        """Return what answers made with a target's weights are worth less."""
+        """Return the penalty for a target's weights, as an equivalent waiting time."""
         is_old = any(
-            now_seconds >= named.named_seconds + OLD_FREE_SECONDS
+            now_seconds >= named.named_seconds + OLD_WEIGHTS_GRACE_SECONDS
             for named in self._above(weights)
         )
-        return OLD_WEIGHTS_SECONDS if is_old else 0.0
+        return OLD_WEIGHTS_PENALTY_SECONDS if is_old else 0.0
 
     def _above(self, weights: Mapping[ModelId, WeightsVersion]) -> list[NamedVersion]:
-        """Return the first version above each that a target holds."""
+        """Return the first named version above each one that a target holds."""
         found: list[NamedVersion] = []
         for model, version in weights.items():
             number = weights_number(version)
@@ -149,5 +150,5 @@
 
 
 def weights_number(version: WeightsVersion | None) -> int:
-    """Return the place of a version among the versions of its model; 0 for none."""
+    """Return the ordinal of a version within its model; 0 for none."""
     return int(version) if version else 0
--- a/lycheepost/state/peerkeys.py
+++ b/lycheepost/state/peerkeys.py
@@ -1,8 +1,8 @@
 """The key pair that the daemons of a deployment share for their peer links.
 
-Where no operator hands keys out, the first daemon makes a pair and puts it into
-the table, under the condition that there is none; all others read it. Whoever may
-read the table may be a peer.
+If no operator distributes keys, the first daemon creates a pair and writes it to the
+table on the condition that there is none; all others read it. Any process that may
+read the table can thus be a peer.
 """
 
 from collections.abc import Callable
@@ -37,10 +37,10 @@
 async def load_peer_keys(
     table: TablePort, make: Callable[[], StoredKeys]
 ) -> Result[StoredKeys, TableError]:
-    """Return the shared pair; make it when there is none yet.
+    """Return the shared key pair; create it if there is none yet.
 
     Args:
-        table: Where the pair is kept.
+        table: Stores the pair.
         make: Returns a new pair.
     """
     match await _read(table):
@@ -76,10 +76,10 @@
     try:
         return Success(msgspec.json.decode(value, type=StoredKeys))
     except UNREADABLE as error:
-        return Failure(TableError(f"the peer keys cannot be read: {error}"))
+        return Failure(TableError(f"the peer keys cannot be decoded: {error}"))
 
 
 def _require(keys: StoredKeys | None) -> Result[StoredKeys, TableError]:
     if keys is None:
-        return Failure(TableError("the peer keys were removed"))
+        return Failure(TableError("the peer keys were removed after they were written"))
     return Success(keys)
--- a/lycheepost/state/revision_rows.py
+++ b/lycheepost/state/revision_rows.py
@@ -1,9 +1,9 @@
-"""The configuration in the table and in the object store.
+"""Storage of the configuration in the table and in the object store.
 
 ``configuration/head`` names the highest revision and the newest snapshot. Each
-revision is one or more rows with its delta, written in the transaction that
-moves the head. A snapshot in the object store holds a whole configuration, so
-that a reader needs the deltas after it only, and older ones can go.
+revision is one or more rows with its delta, written in the transaction that updates
+the head. A snapshot in the object store is a complete configuration, so that readers
+need only the deltas after it and older ones can be removed.
 """
 
 from dataclasses import dataclass
@@ -28,15 +28,15 @@
 HEAD_KEY = "configuration/head"
 REVISION_PREFIX = "configuration/revision/"
 SNAPSHOT_PREFIX = "configuration/snapshot/"
-_PART_BYTES = 200_000
-"""Most bytes of a delta in one row; table services bound the size of a row."""
+_MAX_PART_BYTES = 200_000
+"""Maximum size of a delta's part in one row; table services limit the row size."""
 DELTAS_PER_READ = 64
 EMPTY = Configuration(revision=0)
 
 
-_DAMAGED = (msgspec.MsgspecError, ValueError, TypeError, RecursionError)
-"""What decoding damaged bytes raises. The poll of the configuration must outlive
-them: its task would end, and later changes would never come into force here."""
+_DECODE_ERRORS = (msgspec.MsgspecError, ValueError, TypeError, RecursionError)
+"""Raised by decoding damaged bytes. The polling task must catch them: it would end
+otherwise, and later changes would never come into force on this daemon."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,9 +44,9 @@
     """The highest revision and the newest snapshot.
 
     Attributes:
-        snapshot: Revision of the newest snapshot; 0 when there is none, and then
-            the deltas reach back to the empty configuration.
-        version: Version of the head's row; the condition of the next change.
+        snapshot: Revision of the newest snapshot; 0 if there is none, and then the
+            deltas start from the empty configuration.
+        version: Version of the head row; the condition of the next change.
     """
 
     revision: Revision
@@ -61,14 +61,14 @@
 
 
 async def read_head(table: TablePort) -> Result[Head, StateError]:
-    """Return the head; revision 0 when no change was ever accepted."""
+    """Read the head; revision 0 if no change was ever accepted."""
     match await table.read((HEAD_KEY,)):
         case Success((None,)):
             return Success(Head(Revision(0), Revision(0), ABSENT_VERSION))
         case Success((Row() as row,)):
             try:
                 value = msgspec.msgpack.decode(row.value, type=_HeadValue)
-            except _DAMAGED:
+            except _DECODE_ERRORS:
                 return Failure(StateError("The head of the configuration is damaged."))
             return Success(Head(value.revision, value.snapshot, row.version))
         case Failure(error):
@@ -80,9 +80,11 @@
     """Return the transaction that makes ``delta`` the next revision."""
     value = msgspec.msgpack.encode(_HeadValue(delta.revision, head.snapshot))
     data = encode_delta(delta)
-    parts = [data[at : at + _PART_BYTES] for at in range(0, len(data), _PART_BYTES)]
+    parts = [
+        data[at : at + _MAX_PART_BYTES] for at in range(0, len(data), _MAX_PART_BYTES)
+    ]
     rows = [
-        # The first byte of each part says how many more follow it.
+        # The first byte of each part is the number of parts that follow it.
         Write(_part_key(delta.revision, index), bytes([len(parts) - 1 - index]) + part)
         for index, part in enumerate(parts)
     ]
@@ -92,7 +94,7 @@
 
 
 def make_snapshot_transaction(head: Head, snapshot: Revision) -> Transaction:
-    """Return the transaction that names a snapshot in the head."""
+    """Return the transaction that records a snapshot in the head."""
     value = msgspec.msgpack.encode(_HeadValue(head.revision, snapshot))
     return Transaction((Condition(HEAD_KEY, head.version),), (Write(HEAD_KEY, value),))
 
@@ -100,9 +102,9 @@
 async def read_deltas(
     table: TablePort, after: Revision, until: Revision
 ) -> Result[tuple[Delta, ...], StateError]:
-    """Return the deltas of revisions ``after + 1`` to ``until``, at most 64.
+    """Read the deltas of revisions ``after + 1`` to ``until``, at most 64.
 
-    A delta that has been removed or cannot be read ends the sequence.
+    A delta that has been removed or cannot be decoded ends the sequence.
     """
     last = min(until, after + DELTAS_PER_READ)
     wanted = range(after + 1, last + 1)
@@ -120,7 +122,7 @@
             return whole
         try:
             deltas.append(decode_delta(whole.unwrap()))
-        except _DAMAGED:
+        except _DECODE_ERRORS:
             break
     return Success(tuple(deltas))
 
@@ -128,7 +130,7 @@
 async def read_configuration(
     table: TablePort, objects: ObjectPort, known: Configuration
 ) -> Result[Configuration, StateError]:
-    """Return the configuration at the head, built from the cheapest source."""
+    """Read the newest configuration, with as few reads as possible."""
     match await read_head(table):
         case Success(head):
             pass
@@ -154,7 +156,7 @@
 async def read_snapshot(
     objects: ObjectPort, revision: Revision
 ) -> Result[Configuration, StateError]:
-    """Return the whole configuration of one snapshot."""
+    """Read the configuration of one snapshot."""
     match await objects.get(snapshot_name(revision)):
         case Success(data):
             return decode_snapshot(data)
@@ -166,7 +168,7 @@
 async def read_newest_snapshot(
     objects: ObjectPort,
 ) -> Result[Configuration, StateError]:
-    """Return the newest snapshot that the listing shows; the listing may lag."""
+    """Read the newest snapshot in the object listing, which may lag."""
     match await objects.list_names(SNAPSHOT_PREFIX):
         case Success(()):
             return Failure(StateError("There is no snapshot."))
@@ -181,7 +183,7 @@
 async def write_snapshot(
     objects: ObjectPort, configuration: Configuration
 ) -> Result[None, StateError]:
-    """Write a snapshot and read it back before anybody relies on it."""
+    """Write a snapshot and verify it by reading it back."""
     revision = Revision(configuration.revision)
     data = encode_snapshot(configuration)
     await objects.put(snapshot_name(revision), data)
@@ -189,24 +191,24 @@
         case Success(found) if found == data:
             return Success(None)
         case Success(_):
-            return Failure(StateError("The snapshot was not written whole."))
+            return Failure(StateError("The snapshot read back differs."))
         case Failure(error):
             return Failure(StoreUnreachable(error.reason))
     raise AssertionError("unreachable")
 
 
 def encode_snapshot(configuration: Configuration) -> bytes:
-    """Return a whole configuration as one delta from nothing."""
+    """Encode a configuration as one delta from the empty configuration."""
     delta = Delta(Revision(configuration.revision), "", configuration, {})
     return encode_delta(delta)
 
 
 def decode_snapshot(data: bytes) -> Result[Configuration, StateError]:
-    """Return the configuration of a snapshot, or an error if it is damaged."""
+    """Decode a snapshot; fail if it is damaged."""
     try:
         return Success(decode_delta(data).changes)
-    except _DAMAGED:
-        return Failure(StateError("The snapshot cannot be read."))
+    except _DECODE_ERRORS:
+        return Failure(StateError("The snapshot cannot be decoded."))
 
 
 async def _join_parts(
@@ -232,5 +234,5 @@
 
 
 def snapshot_name(revision: Revision) -> str:
-    """Return the name of one snapshot's object; names sort as revisions do."""
+    """Return the object name of a snapshot; names sort in the order of revisions."""
     return f"{SNAPSHOT_PREFIX}{revision:012d}"
--- a/lycheepost/state/revisions.py
+++ b/lycheepost/state/revisions.py
@@ -1,13 +1,13 @@
 """The configuration in force on this daemon, and how it changes.
 
-A change is accepted by one conditional transaction on the head, so that of two
-changes on the same basis one wins and the other is told. A daemon adopts only
-higher revisions, from whichever source shows them first: its peers, the table,
-a snapshot, at the very start its own settings. Nothing ever goes back.
-
-The head is polled by few daemons: the fleet as a whole looks
-``_FLEET_POLLERS`` times per poll interval, whatever its size, and peers pass on
-what one of them found. With no peers known, every daemon polls.
+A change is accepted by one conditional transaction on the head row, so that of two
+changes with the same basis one succeeds and the other is rejected. A daemon adopts only
+higher revisions, from whichever source has them first: its peers, the table, a
+snapshot, or at the start its own settings. A revision is never reverted.
+
+Only few daemons poll the head: the whole fleet reads it
+``_FLEET_POLLS_PER_INTERVAL`` times per poll interval, whatever its size, and peers
+forward what one of them found. With no peers known, every daemon polls.
 """
 
 import asyncio
@@ -30,6 +30,7 @@
     TableThrottled,
     TableUnavailable,
 )
+from lycheepost.state.commit_retry import commit_with_retry
 from lycheepost.state.deltas import Delta, apply_all, apply_delta, is_empty, make_delta
 from lycheepost.state.errors import (
     BasisMoved,
@@ -46,29 +47,28 @@
     read_head,
     read_newest_snapshot,
 )
-from lycheepost.state.settle import commit_settled
 from lycheepost.state.view import ConfigurationView, make_view
 from lycheepost.utils.tasks import start_task
 
-_FLEET_POLLERS = 16
-"""Looks at the head per poll interval by the whole fleet: with 540 daemons and
-one second, 16 reads a second of the 2,000 there are, and a change that no peer
-passes on is still found within a second by somebody."""
+_FLEET_POLLS_PER_INTERVAL = 16
+"""Reads of the head per poll interval by the whole fleet. With 540 daemons and an
+interval of one second this is 16 of the 2,000 reads a second that the table allows,
+and some daemon finds a change within a second even if no peer forwards it."""
 _KEPT_DELTAS = 256
-"""Newest deltas kept to answer peers that are a little behind; at 64,000 changes
-a day they cover almost six minutes."""
+"""Newest deltas kept for peers that are slightly behind; at 64,000 changes a day they
+cover almost six minutes."""
 _START_READERS_PER_SECOND = 7.0
-"""Daemons that turn to the table each second when all restart together. One reads
-up to 257 rows (the head, and the deltas since the last snapshot), so that 7 stay
-inside 2,000 reads a second on average even if peers pass nothing on."""
-_MOST_SNAPSHOT_WAIT_SECONDS = 5.0
-"""A snapshot is two reads of the object store: 540 daemons within this time are
-216 reads a second."""
-_MEMBER_WAITS = 50
+"""Daemons that read the table each second when all restart together. Each reads up to
+257 rows (the head and the deltas since the last snapshot), so that 7 stay within 2,000
+reads a second on average even if peers forward nothing."""
+_MAX_SNAPSHOT_WAIT_SECONDS = 5.0
+"""Loading a snapshot takes two reads of the object store: 540 daemons within this time
+make 216 reads a second."""
+_MAX_MEMBER_WAITS = 50
 _MEMBER_WAIT_SECONDS = 0.02
 _ASSUMED_DAEMONS = 50
-"""With the VM list silent for a second, a fleet of 540 reads within 5 seconds,
-and a daemon on its own waits 2.5 seconds on average."""
+"""Fleet size assumed if the VM list gives none within a second. A fleet of 540 then
+reads within 5 seconds, and a single daemon waits 2.5 seconds on average."""
 PEER_SOURCE = "peer"
 _COMMIT_SECONDS = 10.0
 _log = structlog.get_logger(part="revisions")
@@ -76,8 +76,8 @@
 OnView = Callable[[ConfigurationView], None]
 
 
-class RevisionKeeper:
-    """The configuration of one daemon; made by ``make_revision_keeper``."""
+class RevisionManager:
+    """The configuration of one daemon; created by ``make_revision_manager``."""
 
     def __init__(
         self,
@@ -96,11 +96,11 @@
         self._n_daemons = n_daemons
         self._random = random.Random(seed)
         self._subscribers: list[OnView] = []
-        self._recent: deque[Delta] = deque(maxlen=_KEPT_DELTAS)
+        self._recent_deltas: deque[Delta] = deque(maxlen=_KEPT_DELTAS)
         self._task: asyncio.Task[None] | None = None
         self._adopted_seconds = clock.now_seconds()
         self._source = "settings"
-        # Deltas build on what was accepted, never on a daemon's own settings.
+        # Deltas apply to the accepted configuration, never to the daemon's settings.
         self._accepted = EMPTY
         self.view = make_view(fallback)
         self.n_polls = 0
@@ -108,7 +108,7 @@
 
     @property
     def revision(self) -> Revision:
-        """Return the revision in force here."""
+        """Return the revision in force on this daemon."""
         return Revision(self._accepted.revision)
 
     @property
@@ -117,19 +117,19 @@
         return self._accepted
 
     def subscribe(self, on_view: OnView) -> None:
-        """Call ``on_view`` with each view adopted from now on."""
+        """Call ``on_view`` with each view adopted in future."""
         self._subscribers.append(on_view)
 
-    def count_daemons_as(self, n_daemons: Callable[[], int]) -> None:
-        """Share the looks at the table among this many daemons from now on."""
+    def set_daemon_count(self, n_daemons: Callable[[], int]) -> None:
+        """Set the number of daemons that share the polling of the table."""
         self._n_daemons = n_daemons
 
     async def start(self) -> None:
-        """Start to poll; the view that there is serves at once."""
+        """Start polling; the initial view is usable at once."""
         self._task = start_task(self._run(), "revisions")
 
     async def drain(self) -> None:
-        """Do nothing: the configuration is needed until the end."""
+        """Do nothing: the configuration is needed until the daemon stops."""
 
     async def stop(self) -> None:
         """Stop polling."""
@@ -148,8 +148,8 @@
             "n_failed_polls": self.n_failed_polls,
         }
 
-    def offer(self, configuration: Configuration, source: str) -> bool:
-        """Adopt ``configuration`` if its revision is higher; else change nothing."""
+    def adopt(self, configuration: Configuration, source: str) -> bool:
+        """Adopt ``configuration`` if its revision is higher than the current one."""
         if configuration.revision <= self.revision:
             return False
         self._accepted = configuration
@@ -160,24 +160,26 @@
             on_view(self.view)
         return True
 
-    def offer_deltas(self, deltas: tuple[Delta, ...], source: str) -> bool:
-        """Adopt the deltas that follow on the revision in force."""
+    def adopt_deltas(self, deltas: tuple[Delta, ...], source: str) -> bool:
+        """Apply and adopt the deltas that follow the revision in force."""
         before = self.revision
         current = apply_all(self._accepted, deltas)
-        self._remember(deltas, before)
-        return self.offer(current, source)
+        self._keep_deltas(deltas, before)
+        return self.adopt(current, source)
 
     def deltas_after(self, revision: Revision) -> tuple[Delta, ...] | None:
-        """Return the kept deltas after ``revision``; None when they reach less far."""
+        """Return the deltas after ``revision``; None if some are no longer kept."""
         if revision >= self.revision:
             return ()
-        found = tuple(delta for delta in self._recent if delta.revision > revision)
+        found = tuple(
+            delta for delta in self._recent_deltas if delta.revision > revision
+        )
         if len(found) != self.revision - revision:
             return None
         return found
 
     async def refresh(self, source: str = "table") -> Result[Revision, StateError]:
-        """Read the head and adopt what is new."""
+        """Read the head and adopt newer revisions."""
         self.n_polls += 1
         match await read_head(self._table):
             case Success(head):
@@ -193,7 +195,7 @@
         """Adopt the newest snapshot if it is higher."""
         match await read_newest_snapshot(self._objects):
             case Success(configuration):
-                self.offer(configuration, "snapshot")
+                self.adopt(configuration, "snapshot")
                 return Success(self.revision)
             case Failure(error):
                 return Failure(error)
@@ -202,12 +204,12 @@
     async def commit(
         self, basis: Revision, configuration: Configuration
     ) -> Result[Revision, StateError]:
-        """Make ``configuration`` the next revision if ``basis`` is the highest.
+        """Make ``configuration`` the next revision if ``basis`` is the newest one.
 
         Returns:
-            The new revision, in force on this daemon; ``BasisMoved`` when
-            another change was accepted first; ``StoreUnreachable`` when nothing
-            was changed; ``CommitUnknown`` when the outcome could not be settled.
+            The new revision, in force on this daemon; ``BasisMoved`` if another change
+            was accepted first; ``StoreUnreachable`` if nothing was changed;
+            ``CommitUnknown`` if the outcome could not be determined.
         """
         match await read_head(self._table):
             case Success(head):
@@ -226,21 +228,21 @@
             return Success(basis)
         settled = await self._commit_delta(head, delta)
         if isinstance(settled, Success):
-            self._adopt_own(before, delta)
+            self._adopt_committed(before, delta)
         return settled
 
-    def _adopt_own(self, before: Configuration, delta: Delta) -> None:
-        """Adopt our own change, unless a peer was faster and brought it here."""
+    def _adopt_committed(self, before: Configuration, delta: Delta) -> None:
+        """Adopt the committed change unless a peer has already delivered it."""
         if self.revision < delta.revision:
-            self._recent.append(delta)
-            self.offer(apply_delta(before, delta), "own change")
+            self._recent_deltas.append(delta)
+            self.adopt(apply_delta(before, delta), "own change")
 
     async def _commit_delta(
         self, head: Head, delta: Delta
     ) -> Result[Revision, StateError]:
         transaction = make_revision_transaction(head, delta)
         deadline_seconds = self._clock.now_seconds() + _COMMIT_SECONDS
-        outcome = await commit_settled(
+        outcome = await commit_with_retry(
             self._table, transaction, self._clock, deadline_seconds
         )
         match outcome:
@@ -259,7 +261,7 @@
     async def _read_own(
         self, delta: Delta, deadline_seconds: float
     ) -> Result[Revision, StateError]:
-        """Tell an earlier try of our own from another daemon's change."""
+        """Determine whether an earlier own attempt or another daemon's change won."""
         before = Revision(delta.revision - 1)
         while self._clock.now_seconds() < deadline_seconds:
             match await read_deltas(self._table, before, delta.revision):
@@ -268,7 +270,7 @@
                 case Success((found,)):
                     reason = "Another change was accepted first."
                     return Failure(BasisMoved(reason, found.revision))
-            # A stale read shows no row yet although the head has moved.
+            # A stale read may show no row yet although the head has changed.
             await asyncio.sleep(0.1)
         return Failure(CommitUnknown("The outcome could not be read back."))
 
@@ -276,29 +278,29 @@
         while self.revision < head.revision and head.snapshot <= self.revision:
             match await read_deltas(self._table, self.revision, head.revision):
                 case Success(deltas) if deltas:
-                    self.offer_deltas(deltas, source)
+                    self.adopt_deltas(deltas, source)
                 case Success(_):
                     break
                 case Failure(error):
                     return Failure(error)
         if self.revision >= head.revision:
             return Success(self.revision)
-        return await self._load_whole(source)
+        return await self._load_configuration(source)
 
-    async def _load_whole(self, source: str) -> Result[Revision, StateError]:
+    async def _load_configuration(self, source: str) -> Result[Revision, StateError]:
         match await read_configuration(self._table, self._objects, self._accepted):
             case Success(configuration):
-                self.offer(configuration, source)
+                self.adopt(configuration, source)
                 return Success(self.revision)
             case Failure(error):
                 return Failure(error)
         raise AssertionError("unreachable")
 
-    def _remember(self, deltas: tuple[Delta, ...], before: Revision) -> None:
+    def _keep_deltas(self, deltas: tuple[Delta, ...], before: Revision) -> None:
         expected = before + 1
         for delta in sorted(deltas, key=lambda item: item.revision):
             if delta.revision == expected:
-                self._recent.append(delta)
+                self._recent_deltas.append(delta)
                 expected += 1
 
     async def _run(self) -> None:
@@ -307,20 +309,21 @@
             await asyncio.sleep(self._next_poll_seconds())
             outcome = await self.refresh()
             if isinstance(outcome, Failure) and self.n_failed_polls == 1:
-                _log.warning("revisions: the table does not answer")
+                _log.warning("revisions: table does not respond")
 
     async def _start_up(self) -> None:
-        """Get a first configuration: peers, then a snapshot, then the table.
+        """Get a first configuration from peers, a snapshot or the table, in this order.
 
-        Peers answer within a round trip, and then nothing is read at all. When
-        the whole fleet restarts at once nobody has anything: the first daemons
-        whose turn comes read, and pass it on before the turn of most others.
+        Peers respond within a round trip, and then nothing is read at all. If the whole
+        fleet restarts at once, no peer has a configuration: each daemon waits for a
+        random time, the first ones read, and they forward the result before most others
+        start to read.
         """
         n_daemons = await self._wait_for_members()
         spread_seconds = n_daemons / _START_READERS_PER_SECOND
         table_seconds = self._random.uniform(0, spread_seconds)
         snapshot_seconds = self._random.uniform(
-            0, min(spread_seconds, _MOST_SNAPSHOT_WAIT_SECONDS)
+            0, min(spread_seconds, _MAX_SNAPSHOT_WAIT_SECONDS)
         )
         await asyncio.sleep(min(snapshot_seconds, table_seconds))
         if self.revision == 0 and snapshot_seconds < table_seconds:
@@ -330,8 +333,8 @@
             await self.refresh()
 
     async def _wait_for_members(self) -> int:
-        """Return the size of the fleet, or a guess when nobody tells it."""
-        for _ in range(_MEMBER_WAITS):
+        """Return the size of the fleet, or an assumed size if it stays unknown."""
+        for _ in range(_MAX_MEMBER_WAITS):
             n_daemons = self._n_daemons()
             if n_daemons > 0:
                 return n_daemons
@@ -339,11 +342,11 @@
         return _ASSUMED_DAEMONS
 
     def _next_poll_seconds(self) -> float:
-        spread = max(1.0, self._n_daemons() / _FLEET_POLLERS)
+        spread = max(1.0, self._n_daemons() / _FLEET_POLLS_PER_INTERVAL)
         return self._poll_seconds * spread * self._random.uniform(0.5, 1.5)
 
 
-def make_revision_keeper(
+def make_revision_manager(
     table: TablePort,
     objects: ObjectPort,
     clock: Clock,
@@ -351,26 +354,26 @@
     fallback: Configuration | None = None,
     n_daemons: Callable[[], int] | None = None,
     seed: int = 0,
-) -> RevisionKeeper:
-    """Return the configuration part of one daemon.
+) -> RevisionManager:
+    """Return the manager of one daemon's configuration.
 
     Args:
-        table: Where accepted changes are.
-        objects: Where snapshots are.
+        table: Stores the accepted changes.
+        objects: Stores the snapshots.
         clock: Clock of this daemon.
-        poll_seconds: Time between looks at the head, for the fleet.
-        fallback: Served from until a better source answers; it counts as
-            revision 0, so that anything accepted goes before it.
-        n_daemons: How many daemons live; when None this one polls alone.
+        poll_seconds: Poll interval of the head, for the fleet.
+        fallback: In force until another source responds. It counts as revision 0, so
+            that any accepted configuration replaces it.
+        n_daemons: Returns the number of live daemons; if None this one polls alone.
         seed: Seed of the jitter.
     """
-    first = EMPTY if fallback is None else _as_revision_zero(fallback)
-    return RevisionKeeper(
+    first = EMPTY if fallback is None else _with_revision_zero(fallback)
+    return RevisionManager(
         table, objects, clock, poll_seconds, first, n_daemons or (lambda: 1), seed
     )
 
 
-def _as_revision_zero(fallback: Configuration) -> Configuration:
+def _with_revision_zero(fallback: Configuration) -> Configuration:
     return Configuration(
         revision=0,
         customers=fallback.customers,
--- a/lycheepost/state/routing.py
+++ b/lycheepost/state/routing.py
@@ -1,8 +1,8 @@
 """The route table in force in this daemon.
 
-Versions only rise, whoever tells of them: a table that comes late, from a store
-answer that was overtaken or from a peer that is behind, is ignored. Until the
-first table there is nothing to answer "not found" or "key unknown" from.
+Versions only increase, whatever the source: a late table, from an overtaken store
+response or from a peer that is behind, is ignored. Before the first table, requests
+cannot be answered with "not found" or "key unknown".
 """
 
 from collections.abc import Callable
@@ -16,13 +16,13 @@
 OnTable = Callable[[RouteTable], None]
 
 
-class RoutingKeeper:
+class RoutingManager:
     """Holds the newest route table and how fresh it is.
 
     Attributes:
-        table: None before the first one.
-        confirmed_seconds: The table was the newest at this time, or later, by a
-            clock that counts suspension; None when that was never proven.
+        table: The route table in force; None before the first one.
+        confirmed_seconds: The table was the newest at this time or later, by a clock
+            that includes time spent suspended; None if never confirmed.
     """
 
     def __init__(self) -> None:
@@ -35,11 +35,11 @@
         self._subscribers.append(callback)
 
     def adopt(self, table: RouteTable, source: str) -> bool:
-        """Put a table in force unless a newer one is; return whether it was.
+        """Adopt a table if it is newer than the current one; return whether it was.
 
         Args:
-            table: A whole configuration.
-            source: Who told of it, for the log.
+            table: A complete configuration.
+            source: Where the table came from, for the log.
         """
         current = self.table
         if current is not None and table.version <= current.version:
@@ -58,10 +58,10 @@
         return True
 
     def confirm(self, version: int, confirmed_seconds: float) -> None:
-        """Note that ``version`` was the newest at a time.
+        """Record that ``version`` was the newest at ``confirmed_seconds``.
 
-        A confirmation of another version than the one in force says nothing about
-        the keys that are being served from here.
+        A confirmation of any version but the one in force is ignored: it says nothing
+        about the keys in use on this daemon.
         """
         if self.table is None or self.table.version != version:
             return
@@ -69,7 +69,7 @@
             self.confirmed_seconds = confirmed_seconds
 
     def status(self, now_seconds: float) -> dict[str, object]:
-        """Return version and age, for the status page."""
+        """Return the version and the confirmation's age, for the status page."""
         confirmed = self.confirmed_seconds
         return {
             "version": None if self.table is None else self.table.version,
--- a/lycheepost/state/snapshots.py
+++ b/lycheepost/state/snapshots.py
@@ -1,8 +1,8 @@
 """Write snapshots of the configuration and remove the deltas that they cover.
 
-The work of one duty. A paused holder that goes on after its lease harms nothing:
-the head names a new snapshot only under a condition on the head's version, only
-upwards, and what is removed lies behind the snapshot before the named one.
+This is the work of one duty. A paused holder that continues after its lease has expired
+does no harm: the head is updated only on a condition on its version and only to a newer
+snapshot, and only data older than the previously named snapshot is removed.
 """
 
 from collections.abc import Callable
@@ -23,22 +23,22 @@
     snapshot_name,
     write_snapshot,
 )
-from lycheepost.state.revisions import RevisionKeeper
+from lycheepost.state.revisions import RevisionManager
 
-SNAPSHOT_EVERY = 256
-"""Revisions between snapshots. A snapshot of 3 MB packs to about 0.4 MB; at 64,000
-changes a day this is one in six minutes, and 1.2 KB a second for its writer."""
+SNAPSHOT_INTERVAL_REVISIONS = 256
+"""Revisions between snapshots. A snapshot of 3 MB is about 0.4 MB when compressed; at
+64,000 changes a day this is one in six minutes, or 1.2 KB a second for its writer."""
 _ROWS_PER_REMOVAL = 64
 _log = structlog.get_logger(part="snapshots")
 
 
 class SnapshotWork:
-    """What the holder of the duty does, each time it is called.
+    """Work of the duty's holder: writes snapshots and removes covered deltas.
 
     Args:
-        table: Where the head and the deltas are.
-        objects: Where snapshots go.
-        keeper: The configuration of this daemon.
+        table: Stores the head and the deltas.
+        objects: Stores the snapshots.
+        revisions: The configuration of this daemon.
         every: Revisions between snapshots.
     """
 
@@ -46,24 +46,24 @@
         self,
         table: TablePort,
         objects: ObjectPort,
-        keeper: RevisionKeeper,
-        every: int = SNAPSHOT_EVERY,
+        revisions: RevisionManager,
+        every: int = SNAPSHOT_INTERVAL_REVISIONS,
     ) -> None:
         self._every = every
         self._table = table
         self._objects = objects
-        self._keeper = keeper
+        self._revisions = revisions
         self.n_written = 0
 
     async def work(self, get_lease: Callable[[], Lease]) -> None:
         """Write a snapshot if one is due."""
-        await self._keeper.refresh()
+        await self._revisions.refresh()
         match await read_head(self._table):
             case Success(head):
                 pass
             case Failure(_):
                 return
-        accepted = self._keeper.accepted
+        accepted = self._revisions.accepted
         n_after = accepted.revision - head.snapshot
         if accepted.revision > head.revision or n_after < self._every:
             return
@@ -76,8 +76,8 @@
     async def _name_snapshot(self, head: Head, snapshot: Revision) -> None:
         transaction = make_snapshot_transaction(head, snapshot)
         if isinstance(await self._table.commit(transaction), Failure):
-            # The head has moved, or the answer was lost: the next call looks
-            # again, and an unnamed snapshot is never read on its own account.
+            # The head has changed, or the response was lost. The next call retries; an
+            # unnamed snapshot does no harm, as it holds an accepted configuration.
             return
         self.n_written += 1
         _log.info("snapshots: written", revision=snapshot)
--- a/lycheepost/state/targetlist.py
+++ b/lycheepost/state/targetlist.py
@@ -1,12 +1,12 @@
-"""The targets of routed requests, as this daemon may use them now.
+"""The targets of routed requests that this daemon may currently use.
 
-Joins four sources: what targets registered, orders that change their weights, what
-answers say of the weights and of leaving, and how requests end there. Whoever may not
-take new work is out of the views that the scheduler gets.
+Combines four sources: registrations of targets, orders that change their weights, what
+responses report about weights and leaving, and how requests end. Targets that may not
+take new work are marked in the views for the scheduler.
 
-A target whose registration lapses while the store is away has not left: it
-registers again within about two seconds of the store's return. So a removal that
-is seen right after an outage counts only after that time.
+A target whose registration lapses while the store is down has not left: it registers
+again within about two seconds of the store's return. A removal seen right after an
+outage therefore takes effect only after that time.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -27,34 +27,35 @@
 from lycheepost.decide.leaving import LeavingTargets
 from lycheepost.decide.records import TargetView
 from lycheepost.decide.targethealth import Ending, TargetHealth
-from lycheepost.state.targetstarts import TargetStarts
-from lycheepost.state.targetviews import Standing, make_view
-from lycheepost.state.wantedweights import (
+from lycheepost.state.namedweights import (
     OLD_WEIGHTS_MARGIN_SECONDS,
     NamedVersion,
-    WantedWeights,
+    NamedWeights,
     weights_number,
 )
+from lycheepost.state.targetstarts import TargetStarts
+from lycheepost.state.targetviews import TargetCondition, make_view
 
-LAPSE_SECONDS = 2.2
-"""Registrations that lapsed are back two seconds after the store; and one round
-trip through the target and the store."""
+REGISTRATION_GRACE_SECONDS = 2.2
+"""Lapsed registrations are renewed within two seconds of the store's return, plus one
+round trip through the target and the store."""
 
-CHANGE_SECONDS = 2.5
-"""A target that was ordered to change its weights is used again after this time
-even if nobody told that it is done: the daemon that knew may have died, or be cut
-off. Twice what a change takes; a target that still changes only says so."""
+WEIGHTS_CHANGE_TIMEOUT_SECONDS = 2.5
+"""A target that was ordered to change its weights is used again after this time even
+without a report of completion: the daemon that would report may have died or be
+disconnected. Twice the duration of a change; a target that is still changing its
+weights responds with that."""
 
-ZONE_SECONDS = 0.004
-"""What a target in another availability zone costs: a round trip for the connection and
-one for the request, and the bytes of both are paid for."""
+CROSS_ZONE_PENALTY_SECONDS = 0.004
+"""Cost of a target in another availability zone: one round trip for the connection and
+one for the request, whose traffic is also billed."""
 
 NO_ZONE = AvailabilityZone("")
 
-SETTLED_SECONDS = 0.6
-"""What a target says of its weights is believed, also when they are older than those
-that it was believed to hold, once that belief is so old: a report is some 0.1 s late,
-and an answer's head seldom takes half a second."""
+REPORT_LAG_SECONDS = 0.6
+"""A target's report of weights older than the recorded ones is accepted once the record
+is this old: a report is about 0.1 s late, and response headers seldom take half a
+second."""
 
 _log = structlog.get_logger(part="targets")
 
@@ -62,31 +63,32 @@
 
 
 @dataclass(slots=True)
-class _Known:
-    """What is known of one target.
+class _TargetRecord:
+    """The recorded state of one target.
 
     Attributes:
-        gone_seconds: When its removal counts; None while it is registered.
-        weights: By model; what was learned last.
-        learned_seconds: When ``weights`` last changed.
-        changing_until_seconds: New weights are being put in until then.
+        removed_seconds: When its removal takes effect; None while it is registered.
+        weights: Last known weights, by model.
+        weights_changed_seconds: When ``weights`` last changed.
+        changing_until_seconds: When a weights change in progress ends at the latest.
     """
 
     listed: ListedTarget
-    gone_seconds: float | None = None
+    removed_seconds: float | None = None
     weights: dict[ModelId, WeightsVersion] | None = None
-    learned_seconds: float = float("-inf")
+    weights_changed_seconds: float = float("-inf")
     changing_until_seconds: float = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class WeightsChange:
-    """What is done to the weights of one target.
+    """A change of the weights of one target.
 
     Attributes:
-        start: Which start of the target it is done to.
-        version: The version that it holds now; None where that is not known.
-        for_seconds: How long it gets no new work from now on; 0 when it is done.
+        start: The start of the target that the change applies to.
+        version: The version that the target holds now; None if unknown.
+        for_seconds: How long the target gets no new work from now on; 0 when the
+            change is complete.
     """
 
     start: TargetStart
@@ -99,13 +101,14 @@
     """The targets that may take routed requests.
 
     Args:
-        clock: A clock that counts suspension.
-        on_views: Gets all views whenever one has changed.
-        weights_seconds: Returns how long after new weights were named old ones may
-            serve.
-        prefers_new_weights: Targets with older weights than named cost more.
-        availability_zone: Where this daemon is; empty to take all zones alike.
-        leaving: The targets whose answers say that they are leaving.
+        clock: A clock that includes time spent suspended.
+        on_views: Called with all views whenever one has changed.
+        weights_seconds: Returns how long old weights may be served after new ones
+            were named.
+        prefers_new_weights: Whether targets with older weights than the named ones
+            have a higher cost.
+        availability_zone: Zone of this daemon; empty to treat all zones alike.
+        leaving: The targets whose responses say that they are leaving.
     """
 
     def __init__(
@@ -123,8 +126,8 @@
         self._clock = clock
         self._on_views = on_views
         self._weights_seconds = weights_seconds
-        self._wanted = WantedWeights()
-        self._known: dict[TargetId, _Known] = {}
+        self._named_weights = NamedWeights()
+        self._known: dict[TargetId, _TargetRecord] = {}
         self._starts = TargetStarts()
         self._health: dict[TargetGroupId, TargetHealth] = {}
         self._table: RouteTable | None = None
@@ -133,18 +136,18 @@
 
     @property
     def n_listed(self) -> int:
-        """Return how many targets there are."""
+        """Return the number of targets."""
         return len(self._known)
 
     def get(self, target: TargetId) -> ListedTarget | None:
-        """Return a target that may still be sent to; None when it has left."""
+        """Return a target that may be sent to; None if it has left or is leaving."""
         known = self._known.get(target)
         if known is None or known.listed.is_leaving:
             return None
         return known.listed
 
     def listed(self, target_group: TargetGroupId) -> tuple[ListedTarget, ...]:
-        """Return the registered targets of a group, with the weights known now."""
+        """Return the registered targets of a group, with their last known weights."""
         return tuple(
             replace(known.listed, weights=known.weights or {})
             for known in self._known.values()
@@ -152,12 +155,12 @@
         )
 
     def weights_of(self, target: TargetId, model: ModelId) -> WeightsVersion | None:
-        """Return the weights that a target holds, as far as known."""
+        """Return the weights version of a target, if known."""
         known = self._known.get(target)
         return None if known is None or not known.weights else known.weights.get(model)
 
     def status(self) -> dict[str, object]:
-        """Return what is known of each target, for the status page."""
+        """Return the recorded state of each target, for the status page."""
         states = {view.target: view.state.value for view in self._views}
         return {
             str(name): {
@@ -176,7 +179,7 @@
         return self._newest.get(model, WeightsVersion(""))
 
     def set_table(self, table: RouteTable) -> None:
-        """Follow the route table: its groups say what their targets can do."""
+        """Set the route table; its groups define what their targets can do."""
         self._table = table
         self.refresh()
 
@@ -184,45 +187,45 @@
         self,
         listed: Iterable[ListedTarget],
         removed: Iterable[TargetId],
-        was_lost: bool,
+        after_outage: bool,
     ) -> None:
-        """Take registrations and removals.
+        """Apply registrations and removals.
 
         Args:
             listed: Targets as they registered.
             removed: Targets whose registrations are gone.
-            was_lost: The store had not answered before.
+            after_outage: Whether the store did not respond before.
         """
         for target in listed:
             self._put(target)
         now_seconds = self._clock.now_seconds()
         for name in removed:
             known = self._known.get(name)
-            if known is None or known.gone_seconds is not None:
+            if known is None or known.removed_seconds is not None:
                 continue
-            # While the wait lasts it goes on serving: most of them live.
-            wait_seconds = LAPSE_SECONDS if was_lost else 0.0
-            known.gone_seconds = now_seconds + wait_seconds
+            # The target is used during the wait, as most are still running.
+            wait_seconds = REGISTRATION_GRACE_SECONDS if after_outage else 0.0
+            known.removed_seconds = now_seconds + wait_seconds
             _log.info("targets: registration gone", target=name, wait=wait_seconds)
         self.refresh()
 
-    def take_all(self, listed: Iterable[ListedTarget], was_lost: bool) -> None:
-        """Take a whole read: whoever is not in it is removed."""
+    def replace_all(self, listed: Iterable[ListedTarget], after_outage: bool) -> None:
+        """Apply a full read of the registrations; targets not in it are removed."""
         targets = tuple(listed)
         names = {target.target for target in targets}
         self.take(
-            targets, [name for name in self._known if name not in names], was_lost
+            targets, [name for name in self._known if name not in names], after_outage
         )
 
-    def overwritten(self, names: Iterable[TargetId]) -> None:
-        """Stop using targets in whose place something unusable is registered.
+    def drop_unusable(self, names: Iterable[TargetId]) -> None:
+        """Stop using targets whose registration was replaced by an unusable one.
 
-        Unlike a registration that lapsed it says nothing of the target's life, so
-        there is no wait: whoever wrote it may write an address there next.
+        Unlike a lapsed registration this does not show whether the target runs. There
+        is no wait, because the unknown writer could register a wrong address next.
         """
         found = [self._known[name] for name in names if name in self._known]
         for known in found:
-            known.gone_seconds = self._clock.now_seconds()
+            known.removed_seconds = self._clock.now_seconds()
             _log.warning("targets: registration unusable", target=known.listed.target)
         if found:
             self.refresh()
@@ -230,8 +233,8 @@
     def _put(self, listed: ListedTarget) -> None:
         name = listed.target
         if self._starts.is_old(listed.start):
-            # A late entry of an earlier start: its state, weights and address are
-            # those of a process that has ended.
+            # A late registration of an earlier start: its state, weights and address
+            # belong to a process that has ended.
             newest_ms = self._starts.newest(name).started_ms
             _log.info(
                 "targets: registration of an earlier start",
@@ -250,13 +253,13 @@
         if listed.is_leaving and not known.listed.is_leaving:
             _log.info("targets: leaving", target=name)
         if listed.weights != known.listed.weights:
-            self._learn(known, listed.weights)
+            self._upgrade(known, listed.weights)
         known.listed = listed
-        known.gone_seconds = None
+        known.removed_seconds = None
 
     def _register(self, listed: ListedTarget, is_restarted: bool) -> None:
-        """Begin anew with a target: nothing of an earlier start holds for it."""
-        self._known[listed.target] = _Known(listed, weights=dict(listed.weights))
+        """Replace a target's record; no data of an earlier start applies to it."""
+        self._known[listed.target] = _TargetRecord(listed, weights=dict(listed.weights))
         self._forget_health(listed)
         _log.info(
             "targets: registered",
@@ -273,12 +276,12 @@
             health.forget_one(listed.target)
 
     def note_start(self, start: TargetStart) -> None:
-        """Learn from a target itself which start of it answers.
+        """Record the start that a target itself has reported.
 
-        The failure: a target dies and starts again under its name before its entry
-        tells so. Its cache would be believed full, its requests be taken for running,
-        and a request that killed it be taken for innocent. It holds the weights that
-        it had; its next entry or answer tells if that was other ones.
+        A target may crash and restart under the same name before its registration
+        shows it. Without this its cache would be assumed warm, its lost requests
+        assumed running, and the request that crashed it would not be found. The weights
+        are assumed unchanged until the next registration or response.
         """
         known = self._known.get(start.target)
         if known is None or not start.is_newer_than(known.listed.start):
@@ -291,7 +294,7 @@
             self.refresh()
 
     def note_leaving(self, start: TargetStart) -> None:
-        """Use a target no more: an answer of this start has said that it leaves."""
+        """Stop using a target after a response of this start said that it leaves."""
         known = self._known.get(start.target)
         if known is None or known.listed.start.is_newer_than(start):
             return
@@ -299,11 +302,13 @@
         self.refresh()
 
     def is_start(self, start: TargetStart) -> bool:
-        """Tell whether a start of a target is the newest that is known of it."""
+        """Return whether a start is the newest known one of its target."""
         return not self._starts.is_old(start)
 
-    def _learn(self, known: _Known, weights: Mapping[ModelId, WeightsVersion]) -> None:
-        """Take weights that are newer; registrations come late."""
+    def _upgrade(
+        self, known: _TargetRecord, weights: Mapping[ModelId, WeightsVersion]
+    ) -> None:
+        """Record weights that are newer than the known ones; late reports are not."""
         current = known.weights or {}
         newer = {
             model: version
@@ -312,44 +317,46 @@
         }
         if newer:
             known.weights = current | newer
-            known.learned_seconds = self._clock.now_seconds()
+            known.weights_changed_seconds = self._clock.now_seconds()
             known.changing_until_seconds = float("-inf")
 
-    def _unlearn(self, known: _Known, model: ModelId, version: WeightsVersion) -> None:
-        """Take weights older than those that a target was believed to hold.
+    def _downgrade(
+        self, known: _TargetRecord, model: ModelId, version: WeightsVersion
+    ) -> None:
+        """Record weights older than those that a target was recorded to hold.
 
-        The failure: a target starts again, and an order that was sent to its earlier
-        start reaches it late and is carried out, as its count of orders has begun
-        anew. It shows as a target that rejects every request for its weights, and as
-        one that is never brought to the newest. Its own word, once the belief is no
-        longer fresh, is better than the belief.
+        A target may restart and then execute a late order for its earlier start,
+        because its counter of orders restarted too. With a wrong record, the target
+        would reject every request because of its weights and would never be updated.
+        The target's own report is therefore accepted once the record is no longer
+        recent.
         """
         now_seconds = self._clock.now_seconds()
         current = known.weights or {}
         if weights_number(version) >= weights_number(current.get(model)):
             return
-        if now_seconds - known.learned_seconds < SETTLED_SECONDS:
+        if now_seconds - known.weights_changed_seconds < REPORT_LAG_SECONDS:
             return
         _log.warning(
-            "targets: weights are older than believed",
+            "targets: weights are older than recorded",
             target=known.listed.target,
             model=model,
             version=version,
             believed=current.get(model),
         )
         known.weights = {**current, model: version}
-        known.learned_seconds = now_seconds
+        known.weights_changed_seconds = now_seconds
 
     def want(self, model: ModelId, version: int, named_seconds: float | None) -> None:
-        """Take a version that an operator named for a model.
+        """Record a version that an operator named for a model.
 
         Args:
             model: The model.
-            version: Place of the version among those of its model.
-            named_seconds: It was named at this time or later; None when it was
-                found at the start and nothing is known.
+            version: Ordinal of the version within its model.
+            named_seconds: The version was named at this time or later; None if it was
+                found at the daemon's start and the time is unknown.
         """
-        self._wanted.want(
+        self._named_weights.add(
             model,
             version,
             named_seconds,
@@ -359,41 +366,41 @@
         self.refresh()
 
     def named_weights(self) -> Mapping[ModelId, tuple[NamedVersion, ...]]:
-        """Return the named versions of each model whose times are no guess."""
-        return self._wanted.known()
+        """Return the named versions of each model whose times are known."""
+        return self._named_weights.known()
 
     def note_named(self, model: ModelId, version: int, old_for_seconds: float) -> None:
-        """Take from a peer how long weights older than a version may be served."""
+        """Record a peer's report of how long weights before a version may be served."""
         now_seconds = self._clock.now_seconds()
         until_seconds = now_seconds + old_for_seconds
-        self._wanted.note_told(model, version, until_seconds, now_seconds)
+        self._named_weights.add_reported(model, version, until_seconds, now_seconds)
         self.refresh()
 
     def old_weights_seconds(self) -> float:
-        """Return how long after newer weights were named old ones get requests."""
+        """Return how long old weights get new requests after newer ones were named."""
         return max(0.0, self._weights_seconds() - OLD_WEIGHTS_MARGIN_SECONDS)
 
-    def _is_unfit(self, known: _Known, now_seconds: float) -> bool:
-        """Tell whether a target's weights keep it from serving."""
+    def _has_unusable_weights(self, known: _TargetRecord, now_seconds: float) -> bool:
+        """Return whether a target cannot serve because of its weights."""
         is_changing = now_seconds < known.changing_until_seconds
         weights = known.weights or {}
-        return is_changing or self._wanted.is_outdated(weights, now_seconds)
+        return is_changing or self._named_weights.is_outdated(weights, now_seconds)
 
     def note_weights(
         self, target: TargetId, model: ModelId, version: WeightsVersion
     ) -> None:
-        """Learn which weights a target says that it holds now."""
+        """Record the weights that a target reports to hold."""
         known = self._known.get(target)
         if known is None or (known.weights or {}).get(model) == version:
             return
-        self._learn(known, {model: version})
-        self._unlearn(known, model, version)
+        self._upgrade(known, {model: version})
+        self._downgrade(known, model, version)
         self.refresh()
 
     def note_changes(self, changes: Iterable[WeightsChange]) -> None:
-        """Follow what is done to the weights of targets.
+        """Record changes of targets' weights.
 
-        New work is kept off a target while its weights are being changed.
+        A target gets no new work while its weights are being changed.
         """
         now_seconds = self._clock.now_seconds()
         for change in changes:
@@ -402,34 +409,34 @@
             if known is None or change.start.is_older_than(known.listed.start):
                 continue
             if change.version is not None:
-                self._learn(known, {change.model: change.version})
+                self._upgrade(known, {change.model: change.version})
             known.changing_until_seconds = now_seconds + change.for_seconds
         self.refresh()
 
     def note_end(self, target: TargetId, ending: Ending) -> None:
-        """Learn from the end of a request."""
+        """Record how a request ended."""
         known = self._known.get(target)
         if known is None:
             return
         health = self._health.setdefault(known.listed.target_group, TargetHealth())
         if health.observe(target, ending, self._clock.now_seconds()):
-            _log.info("targets: left alone", target=target, ending=ending.value)
+            _log.info("targets: backing off", target=target, ending=ending.value)
             self.refresh()
 
     def note_other_at_address(self, target: TargetId) -> None:
-        """Drop a target whose address another one answers at; it has ended."""
+        """Drop a target that has ended: another one responds at its address."""
         known = self._known.get(target)
-        if known is not None and known.gone_seconds is None:
-            _log.info("targets: address has another target", target=target)
-            known.gone_seconds = self._clock.now_seconds()
+        if known is not None and known.removed_seconds is None:
+            _log.info("targets: address taken by another target", target=target)
+            known.removed_seconds = self._clock.now_seconds()
             self.refresh()
 
     def refresh(self) -> None:
-        """Make the views anew; called on changes and as time passes."""
+        """Rebuild the views; called on changes and periodically."""
         now_seconds = self._clock.now_seconds()
         self._forget_gone(now_seconds)
         self._newest = self._find_newest()
-        resting = self._resting(now_seconds)
+        resting = self._backing_off(now_seconds)
         views = tuple(
             self._view(known, name in resting, now_seconds)
             for name, known in sorted(self._known.items())
@@ -448,12 +455,15 @@
 
     def _forget_gone(self, now_seconds: float) -> None:
         for name, known in list(self._known.items()):
-            if known.gone_seconds is not None and known.gone_seconds <= now_seconds:
+            if (
+                known.removed_seconds is not None
+                and known.removed_seconds <= now_seconds
+            ):
                 del self._known[name]
         for health in self._health.values():
             health.forget(self._known)
 
-    def _resting(self, now_seconds: float) -> set[TargetId]:
+    def _backing_off(self, now_seconds: float) -> set[TargetId]:
         resting: set[TargetId] = set()
         for group, health in self._health.items():
             names = [
@@ -464,20 +474,27 @@
             resting |= health.resting(names, now_seconds)
         return resting
 
-    def _penalty_seconds(self, known: _Known, now_seconds: float) -> float:
-        """Return what answers of a target are worth less, told as a wait."""
+    def _penalty_seconds(self, known: _TargetRecord, now_seconds: float) -> float:
+        """Return the cost of using a target, as an equivalent waiting time."""
         is_near = known.listed.availability_zone == self._availability_zone
-        far_seconds = 0.0 if is_near or not self._availability_zone else ZONE_SECONDS
+        far_seconds = (
+            0.0
+            if is_near or not self._availability_zone
+            else CROSS_ZONE_PENALTY_SECONDS
+        )
         if not self._prefers_new_weights:
             return far_seconds
-        return far_seconds + self._wanted.penalty_seconds(
+        return far_seconds + self._named_weights.penalty_seconds(
             known.weights or {}, now_seconds
         )
 
-    def _view(self, known: _Known, is_resting: bool, now_seconds: float) -> TargetView:
-        standing = Standing(
+    def _view(
+        self, known: _TargetRecord, is_backing_off: bool, now_seconds: float
+    ) -> TargetView:
+        condition = TargetCondition(
             weights=known.weights or {},
-            is_left_alone=is_resting or self._is_unfit(known, now_seconds),
+            is_excluded=is_backing_off
+            or self._has_unusable_weights(known, now_seconds),
             penalty_seconds=self._penalty_seconds(known, now_seconds),
         )
-        return make_view(known.listed, standing, self._table)
+        return make_view(known.listed, condition, self._table)
--- a/lycheepost/state/targetstarts.py
+++ b/lycheepost/state/targetstarts.py
@@ -1,8 +1,8 @@
-"""The newest start of each target that anyone told of.
+"""The newest known start of each target.
 
-Entries, reports and words of peers come late and out of order. What an earlier start
-said changes nothing once a later one is known, also after its target was dropped from
-the list for a while.
+Registrations, target reports and peer messages arrive late and out of order. Data from
+an earlier start is ignored once a later start is known, even if the target was
+removed from the list in between.
 """
 
 from collections import OrderedDict
@@ -10,9 +10,9 @@
 from lycheepost.core.ids import TargetId
 from lycheepost.core.starts import TargetStart
 
-MOST_TARGETS = 20_000
-"""Starts that are remembered: more than the largest fleet of targets planned for.
-The one noted longest ago goes first."""
+MAX_TARGETS = 20_000
+"""More than the largest planned fleet of targets. The entry recorded longest ago is
+evicted first."""
 
 
 class TargetStarts:
@@ -22,19 +22,19 @@
         self._newest: OrderedDict[TargetId, TargetStart] = OrderedDict()
 
     def newest(self, target: TargetId) -> TargetStart:
-        """Return the newest start that is known of a target."""
+        """Return the newest known start of a target."""
         return self._newest.get(target) or TargetStart(target)
 
     def is_old(self, start: TargetStart) -> bool:
-        """Tell whether a later start of the target is known."""
+        """Return whether a later start of the target is known."""
         return start.is_older_than(self.newest(start.target))
 
     def note(self, start: TargetStart) -> bool:
-        """Take a start; return whether it is later than what was known."""
+        """Record a start; return whether it replaces an earlier known start."""
         known = self._newest.get(start.target)
         if known is not None and not start.is_newer_than(known):
             return False
         self._newest[start.target] = start
-        while len(self._newest) > MOST_TARGETS:
+        while len(self._newest) > MAX_TARGETS:
             self._newest.popitem(last=False)
         return known is not None
--- a/lycheepost/state/targetviews.py
+++ b/lycheepost/state/targetviews.py
@@ -1,4 +1,4 @@
-"""What the scheduler is shown of one target: a pure pass over what is known of it."""
+"""Build the scheduler's view of one target; pure logic."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -10,29 +10,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
-    """What is believed of a target beside its registration.
+class TargetCondition:
+    """The state of a target in addition to its registration.
 
     Attributes:
-        weights: Weights in place, by model.
-        is_left_alone: It gets no new work now, because of its weights or its health.
-        penalty_seconds: What its answers are worth less, told as a wait.
+        weights: Loaded weights, by model.
+        is_excluded: Whether the target gets no new work, because of its weights or its
+            health.
+        penalty_seconds: Cost of using the target, as an equivalent waiting time.
     """
 
     weights: Mapping[ModelId, WeightsVersion]
-    is_left_alone: bool
+    is_excluded: bool
     penalty_seconds: float
 
 
 def make_view(
-    listed: ListedTarget, standing: Standing, table: RouteTable | None
+    listed: ListedTarget, condition: TargetCondition, table: RouteTable | None
 ) -> TargetView:
     """Return the view of a target.
 
     Args:
         listed: The target as it registered.
-        standing: What is believed of it.
-        table: The route table, which tells what its group is able to do; None before
+        condition: Its state in addition to the registration.
+        table: The route table, which defines the properties of its group; None before
             the first one.
     """
     group = None if table is None else table.groups.get(listed.target_group)
@@ -44,17 +45,17 @@
         target=listed.target,
         target_group=listed.target_group,
         availability_zone=listed.availability_zone,
-        state=_state_of(listed, standing),
+        state=_state_of(listed, condition),
         incarnation=listed.start.incarnation,
-        weights_version=WeightsVersion(",".join(sorted(standing.weights.values()))),
+        weights_version=WeightsVersion(",".join(sorted(condition.weights.values()))),
         concurrency_limit=listed.slots,
         cache_tokens=0 if engine is None else engine.kv_tokens,
-        penalty_seconds=standing.penalty_seconds,
+        penalty_seconds=condition.penalty_seconds,
         fetch_token_seconds=fetch_seconds,
     )
 
 
-def _state_of(listed: ListedTarget, standing: Standing) -> TargetState:
+def _state_of(listed: ListedTarget, condition: TargetCondition) -> TargetState:
     if listed.is_leaving:
         return TargetState.LEAVING
-    return TargetState.GONE if standing.is_left_alone else TargetState.SERVING
+    return TargetState.GONE if condition.is_excluded else TargetState.SERVING
--- a/lycheepost/state/view.py
+++ b/lycheepost/state/view.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class ConfigurationView:
-    """One configuration with the look-ups that every request needs."""
+    """One configuration with the indexes that requests need."""
 
     configuration: Configuration
     customer_by_key_hash: dict[str, Customer]
@@ -29,13 +29,13 @@
 def make_view(
     configuration: Configuration, previous: ConfigurationView | None = None
 ) -> ConfigurationView:
-    """Index ``configuration``; disabled customers keep no working key.
+    """Index ``configuration``; keys of disabled customers are left out.
 
     Args:
-        configuration: What to index.
-        previous: The view that it follows on. Indexes of sections that a change
-            did not touch are taken over, because with 12,000 targets they take
-            milliseconds to build, and no request runs meanwhile.
+        configuration: The configuration to index.
+        previous: The view before it. Indexes of unchanged sections are reused: with
+            12,000 targets they take milliseconds to build, during which the event loop
+            serves no request.
     """
     before = None if previous is None else previous.configuration
     view = previous or _EMPTY_VIEW
--- a/lycheepost/state/watch.py
+++ b/lycheepost/state/watch.py
@@ -1,11 +1,11 @@
-"""Follow one table of the store, and know how fresh that knowledge is.
+"""Follow one table of the store by long polling, and track how fresh the data is.
 
-A whole read first, then one held question after the other. Every answer proves
-that nothing newer was accepted before its question was sent: that moment, by a
-clock that counts suspension, is how far the knowledge reaches.
+A full read comes first, then one long poll after the other. Every response proves that
+no newer change was accepted before its request was sent. That moment, by a clock that
+includes time spent suspended, is the time up to which the data is confirmed.
 
-A connection may go silent without being closed. Questions are therefore held for
-a short time only, and each has a timeout a little longer than that.
+A connection may become silent without being closed. Long polls are therefore short, and
+each has a timeout slightly longer than the poll.
 """
 
 import asyncio
@@ -21,34 +21,34 @@
 from lycheepost.ports.table import TableError
 from lycheepost.utils.tasks import start_task
 
-FIRST_PAUSE_SECONDS = 0.1
-LAST_PAUSE_SECONDS = 0.8
-"""Between tries while the store does not answer. A store that is back is seen
-within a second; seven daemons ask a store that is down ten times a second."""
+INITIAL_BACKOFF_SECONDS = 0.1
+MAX_BACKOFF_SECONDS = 0.8
+"""Back-off while the store does not respond. A store that is back is noticed within a
+second; seven daemons send ten requests a second to a store that is down."""
 
 _log = structlog.get_logger(part="watch")
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """What one answer told.
+class TableUpdate:
+    """The changes in one response of the store.
 
     Attributes:
-        rows: Changed rows; all rows when ``is_whole``, so others are gone.
-        confirmed_seconds: The table was as it is known now at this time, or later.
-        before_seconds: What ``confirmed_seconds`` was before this answer; None for
-            the first one. Whatever changed did so after that.
-        was_lost: The first answer after a failure.
+        rows: Changed rows; if ``is_whole``, all rows, and any other row is deleted.
+        confirmed_seconds: The known state was the current one at this time or later.
+        before_seconds: ``confirmed_seconds`` before this response; None for the first
+            one. All changes in ``rows`` happened after it.
+        after_outage: Whether this is the first response after a failure.
     """
 
     rows: tuple[ChangedRow, ...]
     is_whole: bool
     confirmed_seconds: float
     before_seconds: float | None
-    was_lost: bool
+    after_outage: bool
 
 
-OnSeen = Callable[[Seen], None]
+OnTableUpdate = Callable[[TableUpdate], None]
 
 
 class Watch:
@@ -57,14 +57,15 @@
     Args:
         feed: The store.
         table: Name of the table.
-        clock: A clock that counts suspension.
-        wait_seconds: Returns how long a question is held.
-        on_seen: Told of each answer.
+        clock: A clock that includes time spent suspended.
+        wait_seconds: Returns the maximum duration of a long poll.
+        on_update: Called with the update of each response.
         seed: Seed of the jitter.
 
     Attributes:
-        is_lost: The last question was not answered.
-        confirmed_seconds: How far the knowledge reaches; None before any answer.
+        is_lost: Whether the last request failed.
+        confirmed_seconds: Time up to which the data is confirmed; None before any
+            response.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         table: str,
         clock: Clock,
         wait_seconds: Callable[[], float],
-        on_seen: OnSeen,
+        on_update: OnTableUpdate,
         seed: int = 0,
     ) -> None:
         self.is_lost = False
@@ -82,33 +83,33 @@
         self._table = table
         self._clock = clock
         self._wait_seconds = wait_seconds
-        self._on_seen = on_seen
+        self._on_update = on_update
         self._random = random.Random(seed)
         self._version: int | None = None
         self._task: asyncio.Task[None] | None = None
-        self._on_first: Callable[[], None] | None = None
+        self._on_first_response: Callable[[], None] | None = None
         self.n_answers = 0
         self.n_failures = 0
 
-    def on_first(self, callback: Callable[[], None]) -> None:
-        """Call ``callback`` when the first answer was taken."""
-        self._on_first = callback
+    def on_first_response(self, callback: Callable[[], None]) -> None:
+        """Call ``callback`` after the first response was processed."""
+        self._on_first_response = callback
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start following the table."""
         self._task = start_task(self._run(), f"watch-{self._table}")
 
     async def drain(self) -> None:
-        """Go on: requests in flight still rest on what is known."""
+        """Continue: requests in flight still depend on fresh data."""
 
     async def stop(self) -> None:
-        """Stop following."""
+        """Stop following the table."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def status(self) -> dict[str, object]:
-        """Return how fresh the knowledge is, for the status page."""
+        """Return how fresh the data is, for the status page."""
         now_seconds = self._clock.now_seconds()
         confirmed = self.confirmed_seconds
         return {
@@ -121,16 +122,16 @@
         }
 
     async def _run(self) -> None:
-        pause_seconds = FIRST_PAUSE_SECONDS
+        backoff_seconds = INITIAL_BACKOFF_SECONDS
         while True:
-            if await self._ask():
-                pause_seconds = FIRST_PAUSE_SECONDS
+            if await self._poll():
+                backoff_seconds = INITIAL_BACKOFF_SECONDS
                 continue
-            await asyncio.sleep(pause_seconds * self._random.uniform(0.5, 1.5))
-            pause_seconds = min(LAST_PAUSE_SECONDS, 2.0 * pause_seconds)
+            await asyncio.sleep(backoff_seconds * self._random.uniform(0.5, 1.5))
+            backoff_seconds = min(MAX_BACKOFF_SECONDS, 2.0 * backoff_seconds)
 
-    async def _ask(self) -> bool:
-        """Put one question; return whether it was answered."""
+    async def _poll(self) -> bool:
+        """Send one request; return whether the store responded."""
         sent_seconds = self._clock.now_seconds()
         version = self._version
         if version is None:
@@ -142,20 +143,20 @@
         match answer:
             case Success(changes):
                 is_whole = version is None or changes.is_whole
-                self._take(changes, is_whole, sent_seconds)
+                self._apply(changes, is_whole, sent_seconds)
                 return True
             case Failure(HistoryGone()):
-                _log.info("watch: history gone", table=self._table, version=version)
+                _log.info("watch: version too old", table=self._table, version=version)
                 self._version = None
                 return True
             case Failure(error):
-                self._note_lost(error)
+                self._note_failure(error)
         return False
 
-    def _take(self, changes: Changes, is_whole: bool, sent_seconds: float) -> None:
-        was_lost, self.is_lost = self.is_lost, False
-        if was_lost:
-            _log.info("watch: regained", table=self._table)
+    def _apply(self, changes: Changes, is_whole: bool, sent_seconds: float) -> None:
+        after_outage, self.is_lost = self.is_lost, False
+        if after_outage:
+            _log.info("watch: store responds again", table=self._table)
         self.n_answers += 1
         self._version = changes.version
         before = self.confirmed_seconds
@@ -163,27 +164,27 @@
         if confirmed_seconds is None:
             confirmed_seconds = sent_seconds
         if before is not None:
-            # A peer's word may be older than what the store itself told before.
+            # Data from a peer may be older than an earlier response of the store.
             confirmed_seconds = max(before, confirmed_seconds)
         self.confirmed_seconds = confirmed_seconds
-        seen = Seen(
+        seen = TableUpdate(
             changes.rows,
             is_whole,
             confirmed_seconds,
             before,
-            was_lost,
+            after_outage,
         )
         try:
-            self._on_seen(seen)
+            self._on_update(seen)
         except Exception:
-            # One row that cannot be handled must not end the watch: keys could
-            # then no longer be confirmed, and every request would be refused.
-            _log.exception("watch: an answer could not be taken", table=self._table)
-        if self.n_answers == 1 and self._on_first is not None:
-            self._on_first()
+            # One row that cannot be processed must not end the watch: keys could then
+            # no longer be confirmed, and every request would be refused.
+            _log.exception("watch: update not processed", table=self._table)
+        if self.n_answers == 1 and self._on_first_response is not None:
+            self._on_first_response()
 
-    def _note_lost(self, error: TableError) -> None:
+    def _note_failure(self, error: TableError) -> None:
         self.n_failures += 1
         if not self.is_lost:
-            _log.warning("watch: lost", table=self._table, reason=error.reason)
+            _log.warning("watch: no response", table=self._table, reason=error.reason)
         self.is_lost = True
--- a/lycheepost/targets/observe.py
+++ b/lycheepost/targets/observe.py
@@ -26,11 +26,11 @@
     EngineLoad,
 )
 from lycheepost.generated.settings import TargetSettings
-from lycheepost.state.signs import (
-    TargetSign,
-    connected_sign,
-    health_sign,
-    refused_sign,
+from lycheepost.state.signals import (
+    TargetSignal,
+    connected_signal,
+    health_signal,
+    refused_signal,
 )
 from lycheepost.targets.control import ControlClient
 from lycheepost.targets.errors import TargetError, TargetUnreachable
@@ -60,7 +60,7 @@
         on_events: Gets a target's boot id and its cache events in order.
     """
 
-    on_sign: Callable[[TargetId, TargetSign], None]
+    on_sign: Callable[[TargetId, TargetSignal], None]
     on_load: Callable[[LoadReport], None]
     on_events: Callable[[TargetId, Incarnation, tuple[CacheEvent, ...]], None]
 
@@ -208,11 +208,11 @@
         match answer:
             case Success(health):
                 self._note_boot(target, health.boot_id)
-                self._callbacks.on_sign(target, connected_sign())
+                self._callbacks.on_sign(target, connected_signal())
                 state = _STATES[health.state]
-                self._callbacks.on_sign(target, health_sign(state))
+                self._callbacks.on_sign(target, health_signal(state))
             case Failure(TargetUnreachable()):
-                self._callbacks.on_sign(target, refused_sign())
+                self._callbacks.on_sign(target, refused_signal())
                 self.recheck(target)
 
     def _take_load(
--- a/tools/fuzzplatform.py
+++ b/tools/fuzzplatform.py
@@ -16,7 +16,7 @@
 from lycheepost.state.leases import decode_lease
 from lycheepost.state.memberrows import to_vm
 from lycheepost.state.targetlist import TargetList
-from lycheepost.state.watch import Seen
+from lycheepost.state.watch import TableUpdate
 from lycheepost.utils.decoding import UNREADABLE
 
 ENTRIES = (
@@ -53,9 +53,9 @@
     follower = ServerFollower(targets)
     good = _GOOD_ENTRY
     rows = (ChangedRow("a", good), ChangedRow("b", good), ChangedRow("c", good))
-    follower.take(Seen(rows, True, 1.0, None, False))
+    follower.take(TableUpdate(rows, True, 1.0, None, False))
     rows = (ChangedRow("a", data), ChangedRow("x", data), ChangedRow("b", None))
-    follower.take(Seen(rows, False, 2.0, 1.0, False))
+    follower.take(TableUpdate(rows, False, 2.0, 1.0, False))
     found = {view.target for view in views[-1]}
     assert "c" in found and "b" not in found, found
     for view in views[-1]:
