--- a/features/operators/steps/tls_steps.py
+++ b/features/operators/steps/tls_steps.py
@@ -13,7 +13,7 @@
 from returns.result import Failure
 
 from lycheepost.generated.settings import TlsSettings
-from lycheepost.utils.tls import make_tls_keeper
+from lycheepost.utils.tls import make_tls_manager
 
 
 def write_pair(context, certificate, key):
@@ -36,7 +36,7 @@
         certificate_path=str(folder / "cert.pem"), key_path=str(folder / "key.pem")
     )
     write_pair(context, *context.pairs["A"])
-    context.keeper = make_tls_keeper("callers", context.tls).unwrap()
+    context.keeper = make_tls_manager("callers", context.tls).unwrap()
     context.trust = ssl.create_default_context()
     context.ca.configure_trust(context.trust)
     context.loop.run_until_complete(open_listener(context))
@@ -96,7 +96,7 @@
             "an empty file": (b"", b_key),
         }
         write_pair(context, *pairs[change])
-    context.keeper.reread()
+    context.keeper.reload()
 
 
 @then("a new connection by {address} sees certificate {name}")
@@ -113,4 +113,4 @@
 
 @then("no listener can be made of it")
 def then_refused(context):
-    assert isinstance(make_tls_keeper("callers", context.tls), Failure)
+    assert isinstance(make_tls_manager("callers", context.tls), Failure)
--- a/features/peers/steps/flood_steps.py
+++ b/features/peers/steps/flood_steps.py
@@ -7,7 +7,7 @@
 from lycheepost.app.fleetplace import EntryChooser, find_place
 from lycheepost.app.platformpeers import PEER_LINKS
 from lycheepost.core.ids import AvailabilityZone, DaemonId
-from lycheepost.peers.exchange import _flooded_by_others
+from lycheepost.peers.exchange import _peers_without_floods
 from lycheepost.peers.neighbours import choose_neighbours
 from lycheepost.state.addresses import Member, MemberState
 
@@ -31,7 +31,9 @@
         mates = tuple(member for member in members if member.daemon in names)
         neighbours = choose_neighbours(me.daemon, members, PEER_LINKS)
         context.neighbours[me.daemon] = {item.daemon for item in neighbours}
-        context.not_flooded[me.daemon] = _flooded_by_others(members, neighbours, mates)
+        context.not_flooded[me.daemon] = _peers_without_floods(
+            members, neighbours, mates
+        )
         for other in (*neighbours, *mates):
             context.links[me.daemon].add(other.daemon)
             context.links[other.daemon].add(me.daemon)
--- a/features/peers/steps/noticenews_steps.py
+++ b/features/peers/steps/notice_messages_steps.py
@@ -1,4 +1,4 @@
-"""Steps of noticenews.feature."""
+"""Steps of notice_messages.feature."""
 
 from dataclasses import replace
 
@@ -8,7 +8,7 @@
 from lycheepost.core.starts import TargetStart
 from lycheepost.decide.ratelimits import SaidLimit
 from lycheepost.generated.messages import NoticeNews, TargetLimit
-from lycheepost.peers.noticenews import leaving_of, limits_of, to_message
+from lycheepost.peers.notice_messages import leaving_of, limits_of, to_message
 
 LIMITED, ENDED = TargetId("limited"), TargetId("ended")
 SENDER_SECONDS = 1000.0
--- a/features/peers/steps/socket_steps.py
+++ b/features/peers/steps/socket_steps.py
@@ -166,7 +166,7 @@
     wait_until(context, lambda: context.relay.n_connections > 0, 5)
     run(context, asyncio.sleep(3 * EXCHANGE_SECONDS))
     # The second knows the first by its greeting only, over the same relay.
-    assert second.exchange.linked() == ("a",)
+    assert second.exchange.linked_daemons() == ("a",)
     second.members._members.pop(DaemonId("a"))
 
 
@@ -213,7 +213,7 @@
     heard = second.transport.bytes_in
     run(context, asyncio.sleep(5 * EXCHANGE_SECONDS))
     assert second.transport.bytes_in > heard
-    assert first.name in second.exchange.linked()
+    assert first.name in second.exchange.linked_daemons()
 
 
 @given("three daemons in a row, the middle one of an older release")
--- a/lycheepost/app/daemon.py
+++ b/lycheepost/app/daemon.py
@@ -141,7 +141,7 @@
         clock,
         settings,
         fallback_configuration(settings),
-        choose_mates=lambda members: _quota_mates(fleet_quotas, members, clock),
+        choose_peers=lambda members: _quota_mates(fleet_quotas, members, clock),
     )
     me = state.members.me()
     recorder = Recorder(me.daemon, me.boot, settings.objectives)
--- a/lycheepost/app/listeners.py
+++ b/lycheepost/app/listeners.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Success
 
 from lycheepost.generated.settings import LimitSettings, TlsSettings
-from lycheepost.utils.tls import TlsKeeper, make_tls_keeper
+from lycheepost.utils.tls import TlsManager, make_tls_manager
 
 KEEP_ALIVE_SECONDS = 75.0
 """Longer than the usual idle time of client pools, so that a client closes first
@@ -36,7 +36,7 @@
         host: str,
         port: int,
         limits: LimitSettings,
-        tls: TlsKeeper | None = None,
+        tls: TlsManager | None = None,
     ) -> None:
         self._name = name
         self._routes = routes
@@ -120,7 +120,7 @@
     """
     keeper = None
     if tls is not None:
-        match make_tls_keeper(name, tls):
+        match make_tls_manager(name, tls):
             case Success(made):
                 keeper = made
             case Failure(error):
--- a/lycheepost/app/notices.py
+++ b/lycheepost/app/notices.py
@@ -21,7 +21,7 @@
 from lycheepost.decide.records import TargetView
 from lycheepost.generated.messages import NoticeNews
 from lycheepost.peers.exchange import PeerExchange
-from lycheepost.peers.noticenews import leaving_of, limits_of, to_message
+from lycheepost.peers.notice_messages import leaving_of, limits_of, to_message
 from lycheepost.state.targetlist import TargetList
 from lycheepost.targets.forwardcall import AnswerHead
 from lycheepost.utils.metrics import Metrics
--- a/lycheepost/app/quotas.py
+++ b/lycheepost/app/quotas.py
@@ -18,7 +18,7 @@
 )
 from lycheepost.generated.messages import QuotaSpent
 from lycheepost.peers.exchange import PeerExchange
-from lycheepost.peers.quotanews import from_message, to_message
+from lycheepost.peers.quota_messages import from_message, to_message
 from lycheepost.utils.metrics import Metrics
 from lycheepost.utils.tasks import start_task
 
--- a/lycheepost/bench/quotapolicies.py
+++ b/lycheepost/bench/quotapolicies.py
@@ -23,7 +23,7 @@
 )
 from lycheepost.decide.quotameter import START_SHARE
 from lycheepost.decide.tokenbucket import TokenBucket
-from lycheepost.peers.quotanews import to_message
+from lycheepost.peers.quota_messages import to_message
 
 Told = tuple[Any, int, tuple[DaemonId, ...]]
 
--- a/lycheepost/peers/exchange.py
+++ b/lycheepost/peers/exchange.py
@@ -16,8 +16,8 @@
 from lycheepost.core.clock import Clock
 from lycheepost.core.ids import DaemonId
 from lycheepost.generated.messages import PeerFlood, PeerHeartbeat, PeerHello
+from lycheepost.peers.member_messages import to_peer_member
 from lycheepost.peers.neighbours import choose_neighbours, choose_probe
-from lycheepost.peers.records import to_peer_member
 from lycheepost.peers.transport import Transport
 from lycheepost.peers.wire import (
     WireCounts,
@@ -31,33 +31,33 @@
 from lycheepost.state.members import MemberKeeper
 from lycheepost.utils.tasks import start_task
 
-_SILENT_EXCHANGES = 3.0
+_LINK_TIMEOUT_EXCHANGES = 3.0
 """Exchanges without a word after which a link is replaced; the same again, and
 the daemon is suspected."""
-_FORGET_EXCHANGES = 15.0
+_INCOMING_TIMEOUT_EXCHANGES = 15.0
 """An incoming link that is silent for so long is no longer written to."""
-_REMEMBERED_FLOODS = 4096
+_MAX_REMEMBERED_FLOODS = 4096
 """Floods remembered so as to pass each on once. At the size to design for a few
 come each second, and one takes well under a second to reach everybody."""
-MOST_ASKED = 2
+MAX_MEMBER_REQUESTS = 2
 """Peers that a daemon asks for all members in one exchange, until one has answered. Of
 two hundred members each answer takes forty kilobytes, and when all daemons start at
 once each of them would be sent it ten times."""
 
-_PROBE_TURNS = 30
-_LINKLESS_SECONDS = 0.1
+_PROBE_INTERVAL_EXCHANGES = 30
+_NO_LINK_INTERVAL_SECONDS = 0.1
 _log = structlog.get_logger(part="peers")
 
 T = TypeVar("T")
 OnPeerMessage = Callable[[Any, DaemonId], None]
-ChooseMates = Callable[[tuple[Member, ...]], tuple[Member, ...]]
+ChoosePeers = Callable[[tuple[Member, ...]], tuple[Member, ...]]
 
 
 @dataclass(slots=True)
 class _Link:
     """What is known of the link with one daemon."""
 
-    heard_seconds: float
+    last_contact_seconds: float
     opened_seconds: float
     is_ours: bool
     n_silences: int = 0
@@ -79,9 +79,9 @@
         get_revision: Callable[[], int],
         fanout: int,
         exchange_seconds: float,
-        choose_mates: ChooseMates,
+        choose_peers: ChoosePeers,
     ) -> None:
-        self._choose_mates = choose_mates
+        self._choose_peers = choose_peers
         self._transport = transport
         self._members = members
         self._clock = clock
@@ -90,13 +90,13 @@
         self._exchange_seconds = exchange_seconds
         self._links: dict[DaemonId, _Link] = {}
         self._subscribers: dict[type, list[OnPeerMessage]] = defaultdict(list)
-        self._seen: OrderedDict[tuple[str, str, int], None] = OrderedDict()
+        self._seen_floods: OrderedDict[tuple[str, str, int], None] = OrderedDict()
         self._n_floods = 0
         self._no_flood: frozenset[DaemonId] = frozenset()
         self._neighbours: frozenset[DaemonId] = frozenset()
-        self._turn = 0
+        self._n_exchanges = 0
         self._has_members = False
-        self._n_asked = 0
+        self._n_member_requests = 0
         self._task: asyncio.Task[None] | None = None
         self.counts = WireCounts()
         self.n_replaced_links = 0
@@ -151,7 +151,7 @@
             kind=kind_of(message),
             body=encode_body(message),
         )
-        self._remember(flood)
+        self._remember_flood(flood)
         self._send_to_links(flood, None)
 
     def send(self, daemon: DaemonId, message: Any) -> bool:
@@ -164,7 +164,7 @@
         for daemon in daemons:
             self._send_data(daemon, data)
 
-    def tell_revision(self) -> None:
+    def send_revision(self) -> None:
         """Tell the revision in force to the links that do not know of it.
 
         Links over which it came, or that have told it themselves, are left out:
@@ -173,13 +173,13 @@
         revision = self._get_revision()
         for daemon, link in list(self._links.items()):
             if link.revision < revision:
-                self._beat(daemon, link, revision)
+                self._send_heartbeat(daemon, link, revision)
 
-    def linked(self) -> tuple[DaemonId, ...]:
+    def linked_daemons(self) -> tuple[DaemonId, ...]:
         """Return the daemons with whom there is a link."""
         return tuple(self._links)
 
-    def flooded(self) -> tuple[DaemonId, ...]:
+    def flooded_daemons(self) -> tuple[DaemonId, ...]:
         """Return those of them to whom floods go."""
         return tuple(
             daemon for daemon, link in self._links.items() if self._floods(daemon, link)
@@ -195,13 +195,13 @@
             self._check_silence(now_seconds)
             self._choose_links(now_seconds)
             self._send_heartbeats(now_seconds)
-            self._turn += 1
-            self._n_asked = 0
+            self._n_exchanges += 1
+            self._n_member_requests = 0
             # Until there is a link, members may become known at any moment, and
             # a daemon that has just started needs its peers at once.
             pause_seconds = self._exchange_seconds
             if not self._links:
-                pause_seconds = min(_LINKLESS_SECONDS, pause_seconds)
+                pause_seconds = min(_NO_LINK_INTERVAL_SECONDS, pause_seconds)
             await asyncio.sleep(pause_seconds)
 
     def _send_heartbeats(self, now_seconds: float) -> None:
@@ -210,9 +210,9 @@
         due_seconds = now_seconds - self._exchange_seconds / 2
         for daemon, link in list(self._links.items()):
             if link.sent_seconds <= due_seconds or link.revision < revision:
-                self._beat(daemon, link, revision)
+                self._send_heartbeat(daemon, link, revision)
 
-    def _beat(self, daemon: DaemonId, link: _Link, revision: int) -> None:
+    def _send_heartbeat(self, daemon: DaemonId, link: _Link, revision: int) -> None:
         if self.send(daemon, PeerHeartbeat(revision=revision)):
             link.revision = max(link.revision, revision)
 
@@ -220,24 +220,26 @@
         me = self._members.me().daemon
         members = self._members.members()
         neighbours = choose_neighbours(me, members, self._fanout)
-        mates = self._choose_mates(members)
+        peers = self._choose_peers(members)
         before, self._no_flood = (
             self._no_flood,
-            _flooded_by_others(members, neighbours, mates),
+            _peers_without_floods(members, neighbours, peers),
         )
         for daemon in before ^ self._no_flood:
             if daemon in self._links:
-                self._greet(daemon)
+                self._send_hello(daemon)
         self._neighbours = frozenset(member.daemon for member in neighbours)
-        wanted = [*neighbours, *mates]
-        if self._turn % _PROBE_TURNS == 0:
-            probe = choose_probe(me, members, self._turn // _PROBE_TURNS)
+        wanted = [*neighbours, *peers]
+        if self._n_exchanges % _PROBE_INTERVAL_EXCHANGES == 0:
+            probe = choose_probe(
+                me, members, self._n_exchanges // _PROBE_INTERVAL_EXCHANGES
+            )
             wanted += [] if probe is None else [probe]
         for member in wanted:
             if member.daemon not in self._links:
                 self._open(member.daemon, member.peer_endpoint, now_seconds)
         kept = {member.daemon for member in wanted}
-        if self._turn % _PROBE_TURNS:
+        if self._n_exchanges % _PROBE_INTERVAL_EXCHANGES:
             kept |= {name for name, link in self._links.items() if not link.is_ours}
             for name in set(self._links) - kept:
                 self._close(name)
@@ -245,34 +247,36 @@
     def _open(self, daemon: DaemonId, endpoint: str, now_seconds: float) -> None:
         self._transport.connect(daemon, endpoint)
         self._links[daemon] = _Link(now_seconds, now_seconds, True)
-        self._greet(daemon)
+        self._send_hello(daemon)
 
     def _close(self, daemon: DaemonId) -> None:
         self._transport.disconnect(daemon)
         self._links.pop(daemon, None)
 
-    def _greet(self, daemon: DaemonId) -> None:
+    def _send_hello(self, daemon: DaemonId) -> None:
         member = to_peer_member(self._members.me())
-        asks = not self._has_members and self._n_asked < MOST_ASKED
-        self._n_asked += asks
+        wants_members = (
+            not self._has_members and self._n_member_requests < MAX_MEMBER_REQUESTS
+        )
+        self._n_member_requests += wants_members
         hello = PeerHello(
             member=member,
-            wants_members=asks,
+            wants_members=wants_members,
             wants_floods=daemon not in self._no_flood,
         )
         self.send(daemon, hello)
 
     def _check_silence(self, now_seconds: float) -> None:
         """Replace links that have gone silent without being closed."""
-        silent_seconds = _SILENT_EXCHANGES * self._exchange_seconds
-        forget_seconds = _FORGET_EXCHANGES * self._exchange_seconds
+        timeout_seconds = _LINK_TIMEOUT_EXCHANGES * self._exchange_seconds
+        incoming_timeout_seconds = _INCOMING_TIMEOUT_EXCHANGES * self._exchange_seconds
         for daemon, link in list(self._links.items()):
-            quiet_seconds = now_seconds - link.heard_seconds
+            silence_seconds = now_seconds - link.last_contact_seconds
             if not link.is_ours:
-                if quiet_seconds > forget_seconds:
+                if silence_seconds > incoming_timeout_seconds:
                     del self._links[daemon]
-            elif now_seconds - max(link.opened_seconds, link.heard_seconds) > (
-                silent_seconds
+            elif now_seconds - max(link.opened_seconds, link.last_contact_seconds) > (
+                timeout_seconds
             ):
                 self._replace(daemon, link, now_seconds)
 
@@ -293,13 +297,13 @@
         )
         self._transport.connect(daemon, endpoint)
         link.opened_seconds = now_seconds
-        self._greet(daemon)
+        self._send_hello(daemon)
 
     def _receive(self, sender: DaemonId, data: bytes) -> None:
         message = decode_message(data, self.counts)
         if message is None:
             return
-        link = self._note_heard(sender)
+        link = self._record_contact(sender)
         match message:
             case PeerHeartbeat(revision=revision):
                 # A lost message or a restart may have put it behind again.
@@ -313,20 +317,20 @@
             self._has_members = True
             link.wants_floods = message.wants_floods
 
-    def _note_heard(self, sender: DaemonId) -> _Link:
+    def _record_contact(self, sender: DaemonId) -> _Link:
         now_seconds = self._clock.now_seconds()
         link = self._links.get(sender)
         if link is None:
             link = _Link(now_seconds, now_seconds, False)
             self._links[sender] = link
-            self._greet(sender)
-            self._beat(sender, link, self._get_revision())
-        link.heard_seconds = now_seconds
+            self._send_hello(sender)
+            self._send_heartbeat(sender, link, self._get_revision())
+        link.last_contact_seconds = now_seconds
         link.n_silences = 0
         return link
 
     def _receive_flood(self, flood: PeerFlood, sender: DaemonId) -> None:
-        if not self._remember(flood):
+        if not self._remember_flood(flood):
             return
         # Passed on before it is understood: a newer release behind this one
         # may know the kind.
@@ -335,20 +339,20 @@
         if message is not None:
             self._pass_to_subscribers(message, DaemonId(flood.origin))
 
-    def _remember(self, flood: PeerFlood) -> bool:
+    def _remember_flood(self, flood: PeerFlood) -> bool:
         """Return whether a flood is new here."""
         key = (flood.origin, flood.boot, flood.sequence)
-        if key in self._seen:
+        if key in self._seen_floods:
             return False
-        self._seen[key] = None
-        if len(self._seen) > _REMEMBERED_FLOODS:
-            self._seen.popitem(last=False)
+        self._seen_floods[key] = None
+        if len(self._seen_floods) > _MAX_REMEMBERED_FLOODS:
+            self._seen_floods.popitem(last=False)
         return True
 
-    def _send_to_links(self, message: Any, but: DaemonId | None) -> None:
+    def _send_to_links(self, message: Any, excluded: DaemonId | None) -> None:
         data = encode_message(message)
         for daemon, link in list(self._links.items()):
-            if daemon != but and self._floods(daemon, link):
+            if daemon != excluded and self._floods(daemon, link):
                 self._send_data(daemon, data)
 
     def _send_data(self, daemon: DaemonId, data: bytes) -> bool:
@@ -362,10 +366,10 @@
             on_message(message, sender)
 
 
-def _flooded_by_others(
+def _peers_without_floods(
     members: tuple[Member, ...],
     neighbours: tuple[Member, ...],
-    mates: tuple[Member, ...],
+    peers: tuple[Member, ...],
 ) -> frozenset[DaemonId]:
     """Return the mates to whom floods are not sent, and who need not send them to us.
 
@@ -374,10 +378,10 @@
     one that thirty others ask would send it thirty times. Where the mates are the whole
     fleet, they get it straight.
     """
-    if len(mates) + 1 >= len(members):
+    if len(peers) + 1 >= len(members):
         return frozenset()
-    near = {member.daemon for member in neighbours}
-    return frozenset(member.daemon for member in mates) - near
+    neighbour_names = {member.daemon for member in neighbours}
+    return frozenset(member.daemon for member in peers) - neighbour_names
 
 
 def make_peer_exchange(
@@ -387,7 +391,7 @@
     get_revision: Callable[[], int],
     fanout: int = 4,
     exchange_seconds: float = 1.0,
-    choose_mates: ChooseMates = lambda _members: (),
+    choose_peers: ChoosePeers = lambda _members: (),
 ) -> PeerExchange:
     """Return the peer part of one daemon.
 
@@ -398,7 +402,7 @@
         get_revision: Returns the revision in force, told in heartbeats.
         fanout: Links that this daemon opens.
         exchange_seconds: Time between heartbeats.
-        choose_mates: Picks further members to hold links with.
+        choose_peers: Picks further members to hold links with.
     """
     return PeerExchange(
         transport,
@@ -407,5 +411,5 @@
         get_revision,
         fanout,
         exchange_seconds,
-        choose_mates,
+        choose_peers,
     )
--- a/lycheepost/peers/membership.py
+++ b/lycheepost/peers/membership.py
@@ -13,12 +13,12 @@
 from lycheepost.decide.records import TargetState
 from lycheepost.generated.messages import MemberNews, PeerHello, TargetNews
 from lycheepost.peers.exchange import PeerExchange
-from lycheepost.peers.records import from_peer_member, to_peer_member
+from lycheepost.peers.member_messages import from_peer_member, to_peer_member
 from lycheepost.state.addresses import Member
 from lycheepost.state.members import MemberKeeper
 from lycheepost.state.signs import SignSource, TargetSign
 
-_GATHER_SECONDS = 0.1
+_BATCH_SECONDS = 0.1
 """News of daemons waits this long for more; five steps take half a second, well
 inside the few seconds after which a leaving daemon must be avoided."""
 
@@ -32,20 +32,20 @@
         self._exchange = exchange
         self._members = members
         self._clock = clock
-        self._news: dict[DaemonId, DaemonId | None] = {}
-        exchange.subscribe(PeerHello, self._take_hello)
-        exchange.subscribe(MemberNews, self._take_members)
-        exchange.subscribe(TargetNews, self._take_target)
-        members.on_member(self._tell_member)
-        members.on_target_sign(self._tell_target)
+        self._updates: dict[DaemonId, DaemonId | None] = {}
+        exchange.subscribe(PeerHello, self._handle_hello)
+        exchange.subscribe(MemberNews, self._handle_members)
+        exchange.subscribe(TargetNews, self._handle_target)
+        members.on_member(self._publish_member)
+        members.on_target_sign(self._publish_target)
 
-    def _take_hello(self, hello: PeerHello, sender: DaemonId) -> None:
+    def _handle_hello(self, hello: PeerHello, sender: DaemonId) -> None:
         member = from_peer_member(hello.member)
         if member is None:
             return
         known = self._members.get(member.daemon)
         if self._members.hear(member):
-            self._pass_on(member.daemon, sender)
+            self._queue_update(member.daemon, sender)
         elif known is not None and known.state is not member.state:
             # It does not know that others gave it up: it must say again, with a
             # higher sequence, that it lives.
@@ -54,49 +54,49 @@
             everybody = [to_peer_member(item) for item in self._members.members()]
             self._exchange.send(sender, MemberNews(members=everybody))
 
-    def _take_members(self, news: MemberNews, sender: DaemonId) -> None:
-        for message in news.members:
+    def _handle_members(self, updates: MemberNews, sender: DaemonId) -> None:
+        for message in updates.members:
             member = from_peer_member(message)
             if member is not None and self._members.hear(member):
-                self._pass_on(member.daemon, sender)
+                self._queue_update(member.daemon, sender)
 
-    def _take_target(self, news: TargetNews, sender: DaemonId) -> None:
+    def _handle_target(self, updates: TargetNews, sender: DaemonId) -> None:
         try:
-            state = TargetState(news.state)
+            state = TargetState(updates.state)
         except ValueError:
             return
-        sign = TargetSign(SignSource.PEER, state, news.valid_seconds)
+        sign = TargetSign(SignSource.PEER, state, updates.valid_seconds)
         self._members.observe_target(
-            TargetId(news.target), sign, self._clock.now_seconds()
+            TargetId(updates.target), sign, self._clock.now_seconds()
         )
 
-    def _tell_member(self, member: Member) -> None:
-        self._pass_on(member.daemon, None)
+    def _publish_member(self, member: Member) -> None:
+        self._queue_update(member.daemon, None)
 
-    def _pass_on(self, daemon: DaemonId, source: DaemonId | None) -> None:
+    def _queue_update(self, daemon: DaemonId, source: DaemonId | None) -> None:
         """Tell every link but the one over which the news came."""
-        if not self._news:
+        if not self._updates:
             loop = asyncio.get_running_loop()
-            loop.call_later(_GATHER_SECONDS, self._send_news)
-        self._news[daemon] = source
+            loop.call_later(_BATCH_SECONDS, self._send_updates)
+        self._updates[daemon] = source
 
-    def _send_news(self) -> None:
-        news, self._news = self._news, {}
-        known = {daemon: self._members.get(daemon) for daemon in news}
-        flooded = set(self._exchange.flooded())
-        for link in self._exchange.linked():
+    def _send_updates(self) -> None:
+        updates, self._updates = self._updates, {}
+        known = {daemon: self._members.get(daemon) for daemon in updates}
+        flooded_daemons = set(self._exchange.flooded_daemons())
+        for link in self._exchange.linked_daemons():
             # Over other links goes only what nobody else has told before.
             members = [
                 to_peer_member(member)
-                for daemon, source in news.items()
+                for daemon, source in updates.items()
                 if source != link
-                and (source is None or link in flooded)
+                and (source is None or link in flooded_daemons)
                 and (member := known[daemon]) is not None
             ]
             if members:
                 self._exchange.send(link, MemberNews(members=members))
 
-    def _tell_target(self, target: TargetId, sign: TargetSign) -> None:
+    def _publish_target(self, target: TargetId, sign: TargetSign) -> None:
         self._exchange.broadcast(
             TargetNews(
                 target=target,
--- a/lycheepost/peers/neighbours.py
+++ b/lycheepost/peers/neighbours.py
@@ -24,7 +24,7 @@
 must hear and be heard. When all of a fleet cannot serve, as before the first
 configuration, each would otherwise close its links and hear of nobody's return."""
 
-ZONE_DAEMONS = 8
+MIN_ZONE_RING_DAEMONS = 8
 """Other daemons of a zone from which on it has rings of its own. In a ring of fewer,
 two that die at once often lie next to each other in both of its rings."""
 
@@ -45,8 +45,12 @@
         and member.peer_endpoint
         and member.state in LINKED_STATES
     }
-    near = [name for name, item in by_name.items() if item.availability_zone == zone]
-    rings = [near if len(near) >= ZONE_DAEMONS else by_name] * (fanout - 1) + [by_name]
+    same_zone = [
+        name for name, item in by_name.items() if item.availability_zone == zone
+    ]
+    rings = [same_zone if len(same_zone) >= MIN_ZONE_RING_DAEMONS else by_name] * (
+        fanout - 1
+    ) + [by_name]
     chosen = {
         _successor(me, names, ring): None for ring, names in enumerate(rings) if names
     }
@@ -55,9 +59,9 @@
 
 def _successor(me: DaemonId, names: Iterable[DaemonId], ring: int) -> DaemonId:
     """Return the name that follows ``me`` in the order of one ring."""
-    place = hash_bytes(me.encode(), ring)
+    position = hash_bytes(me.encode(), ring)
     ahead = [(hash_bytes(name.encode(), ring), name) for name in names]
-    later = [item for item in ahead if item[0] > place]
+    later = [item for item in ahead if item[0] > position]
     return min(later or ahead)[1]
 
 
--- a/lycheepost/peers/noticenews.py
+++ b/lycheepost/peers/notice_messages.py
@@ -19,11 +19,11 @@
         limits=[
             TargetLimit(
                 target=target,
-                limit_per_second=said.per_second or 0.0,
-                age_seconds=now_seconds - said.said_seconds,
-                is_ended=said.per_second is None,
+                limit_per_second=limit.per_second or 0.0,
+                age_seconds=now_seconds - limit.said_seconds,
+                is_ended=limit.per_second is None,
             )
-            for target, said in limits.items()
+            for target, limit in limits.items()
         ],
         leaving=[
             LeavingTarget(target=start.target, started_ms=start.started_ms)
@@ -46,7 +46,7 @@
             ),
         )
         for item in message.limits
-        if _is_sound(item)
+        if _is_valid(item)
     ]
 
 
@@ -57,6 +57,6 @@
     ]
 
 
-def _is_sound(item: TargetLimit) -> bool:
+def _is_valid(item: TargetLimit) -> bool:
     figures = (item.limit_per_second, item.age_seconds)
     return all(math.isfinite(figure) and figure >= 0.0 for figure in figures)
--- a/lycheepost/peers/quotanews.py
+++ b/lycheepost/peers/quota_messages.py
@@ -8,18 +8,18 @@
 from lycheepost.generated.messages import CustomerSpent, QuotaSpent
 
 
-def to_message(news: QuotaNews) -> QuotaSpent:
+def to_message(usage: QuotaNews) -> QuotaSpent:
     """Return what travels between daemons."""
     return QuotaSpent(
-        start=news.start,
-        is_entry=news.is_entry,
-        is_synced=news.is_synced,
-        wants_relay=news.wants_relay,
+        start=usage.start,
+        is_entry=usage.is_entry,
+        is_synced=usage.is_synced,
+        wants_relay=usage.wants_relay,
         customers=[
             CustomerSpent(
                 customer=customer, spent_units=count.spent, left_units=count.level
             )
-            for customer, count in news.counts.items()
+            for customer, count in usage.counts.items()
         ],
     )
 
--- a/lycheepost/peers/revisions.py
+++ b/lycheepost/peers/revisions.py
@@ -26,7 +26,7 @@
 from lycheepost.state.revisions import PEER_SOURCE, RevisionKeeper
 from lycheepost.state.view import ConfigurationView
 
-_ASK_AGAIN_SECONDS = 1.0
+_FETCH_RETRY_SECONDS = 1.0
 """While an answer is awaited no other peer is asked for the same, because every
 link tells of a new revision within milliseconds."""
 _log = structlog.get_logger(part="peers")
@@ -36,36 +36,36 @@
     """Connects a daemon's configuration with the peers; it has no task."""
 
     def __init__(
-        self, exchange: PeerExchange, keeper: RevisionKeeper, clock: Clock
+        self, exchange: PeerExchange, revisions: RevisionKeeper, clock: Clock
     ) -> None:
         self._exchange = exchange
-        self._keeper = keeper
+        self._revisions = revisions
         self._clock = clock
-        self._asked_revision = 0
-        self._asked_seconds = float("-inf")
-        self._whole = (Revision(0), b"")
-        exchange.subscribe(PeerHeartbeat, self._take_heartbeat)
-        exchange.subscribe(RevisionFetch, self._take_fetch)
-        exchange.subscribe(RevisionDeltas, self._take_deltas)
-        exchange.subscribe(RevisionWhole, self._take_whole)
-        keeper.subscribe(self._tell)
+        self._requested_revision = 0
+        self._requested_seconds = float("-inf")
+        self._encoded_snapshot = (Revision(0), b"")
+        exchange.subscribe(PeerHeartbeat, self._handle_heartbeat)
+        exchange.subscribe(RevisionFetch, self._handle_fetch)
+        exchange.subscribe(RevisionDeltas, self._handle_deltas)
+        exchange.subscribe(RevisionWhole, self._handle_whole)
+        revisions.subscribe(self._send_revision)
 
-    def _tell(self, view: ConfigurationView) -> None:
-        self._exchange.tell_revision()
+    def _send_revision(self, view: ConfigurationView) -> None:
+        self._exchange.send_revision()
 
-    def _take_heartbeat(self, heartbeat: PeerHeartbeat, sender: DaemonId) -> None:
-        if heartbeat.revision <= self._keeper.revision:
+    def _handle_heartbeat(self, heartbeat: PeerHeartbeat, sender: DaemonId) -> None:
+        if heartbeat.revision <= self._revisions.revision:
             return
         now_seconds = self._clock.now_seconds()
-        is_awaited = now_seconds - self._asked_seconds < _ASK_AGAIN_SECONDS
-        if is_awaited and heartbeat.revision <= self._asked_revision:
+        is_awaited = now_seconds - self._requested_seconds < _FETCH_RETRY_SECONDS
+        if is_awaited and heartbeat.revision <= self._requested_revision:
             return
-        self._asked_revision = heartbeat.revision
-        self._asked_seconds = now_seconds
-        self._exchange.send(sender, RevisionFetch(after=self._keeper.revision))
+        self._requested_revision = heartbeat.revision
+        self._requested_seconds = now_seconds
+        self._exchange.send(sender, RevisionFetch(after=self._revisions.revision))
 
-    def _take_fetch(self, fetch: RevisionFetch, sender: DaemonId) -> None:
-        deltas = self._keeper.deltas_after(Revision(fetch.after))
+    def _handle_fetch(self, fetch: RevisionFetch, sender: DaemonId) -> None:
+        deltas = self._revisions.deltas_after(Revision(fetch.after))
         if deltas is None:
             self._send_whole(sender)
         elif deltas:
@@ -73,23 +73,23 @@
             self._exchange.send(sender, RevisionDeltas(deltas=encoded))
 
     def _send_whole(self, sender: DaemonId) -> None:
-        revision, data = self._whole
-        if revision != self._keeper.revision:
+        revision, data = self._encoded_snapshot
+        if revision != self._revisions.revision:
             # Packed once for a herd of peers that all start from nothing.
-            revision = self._keeper.revision
-            data = zlib.compress(encode_snapshot(self._keeper.accepted), level=1)
-            self._whole = (revision, data)
+            revision = self._revisions.revision
+            data = zlib.compress(encode_snapshot(self._revisions.accepted), level=1)
+            self._encoded_snapshot = (revision, data)
         self._exchange.send(sender, RevisionWhole(revision=revision, snapshot=data))
 
-    def _take_deltas(self, message: RevisionDeltas, sender: DaemonId) -> None:
+    def _handle_deltas(self, message: RevisionDeltas, sender: DaemonId) -> None:
         try:
             deltas = tuple(decode_delta(data) for data in message.deltas)
         except (msgspec.MsgspecError, ValueError):
             _log.warning("peers: damaged deltas", sender=sender)
             return
-        self._keeper.offer_deltas(deltas, f"{PEER_SOURCE} {sender}")
+        self._revisions.offer_deltas(deltas, f"{PEER_SOURCE} {sender}")
 
-    def _take_whole(self, message: RevisionWhole, sender: DaemonId) -> None:
+    def _handle_whole(self, message: RevisionWhole, sender: DaemonId) -> None:
         try:
             data = zlib.decompress(message.snapshot)
         except zlib.error:
@@ -97,4 +97,4 @@
             return
         match decode_snapshot(data):
             case Success(configuration):
-                self._keeper.offer(configuration, f"{PEER_SOURCE} {sender}")
+                self._revisions.offer(configuration, f"{PEER_SOURCE} {sender}")
--- a/lycheepost/peers/shared.py
+++ b/lycheepost/peers/shared.py
@@ -8,7 +8,7 @@
 from lycheepost.core.ids import AvailabilityZone, DaemonId
 from lycheepost.generated.configuration import Configuration
 from lycheepost.generated.settings import Settings
-from lycheepost.peers.exchange import ChooseMates, PeerExchange, make_peer_exchange
+from lycheepost.peers.exchange import ChoosePeers, PeerExchange, make_peer_exchange
 from lycheepost.peers.membership import MemberExchange
 from lycheepost.peers.revisions import RevisionExchange
 from lycheepost.peers.transport import Transport
@@ -94,7 +94,7 @@
     fallback: Configuration | None = None,
     callers_url: str = "",
     boot: str = "",
-    choose_mates: ChooseMates = lambda _members: (),
+    choose_peers: ChoosePeers = lambda _members: (),
 ) -> SharedState:
     """Return the shared state of one daemon.
 
@@ -108,7 +108,7 @@
             ``members.set_callers_url`` tells it later.
         boot: Unique for each start of the daemon, also the seed of its jitter;
             made up when empty.
-        choose_mates: Picks members to hold links with, beside those of the rings.
+        choose_peers: Picks members to hold links with, beside those of the rings.
     """
     daemon = DaemonId(settings.daemon.daemon_id)
     boot = boot or secrets.token_hex(6)
@@ -150,7 +150,7 @@
         lambda: revisions.revision,
         settings.peers.fanout,
         settings.peers.exchange_seconds,
-        choose_mates,
+        choose_peers,
     )
     MemberExchange(exchange, members, clock)
     RevisionExchange(exchange, revisions, clock)
@@ -162,7 +162,7 @@
         _claim_limits(settings),
         members.owner_is_live,
         boot,
-        lambda: max(members.n_live(), _FEWEST_DAEMONS),
+        lambda: max(members.n_live(), _MIN_DAEMONS),
     )
     leases = LeaseKeeper(
         ports.table, clock, daemon, state.lease_seconds, state.lease_margin_seconds
@@ -191,15 +191,15 @@
 
 
 def _claim_limits(settings: Settings) -> ClaimLimits:
-    most = settings.platform.table_writes_per_second
+    max_writes_per_second = settings.platform.table_writes_per_second
     return ClaimLimits(
         wait_seconds=2 * settings.platform.timeout_seconds,
         answer_bytes=settings.streams.stored_answer_bytes,
         batch_seconds=settings.state.claim_batch_seconds,
         batch_rows=settings.state.claim_batch,
-        most_writes_per_second=most,
+        most_writes_per_second=max_writes_per_second,
     )
 
 
-_FEWEST_DAEMONS = 7
+_MIN_DAEMONS = 7
 """Daemons of today's deployments, assumed until members tell of more."""
--- a/lycheepost/peers/socketreader.py
+++ b/lycheepost/peers/socketreader.py
@@ -14,7 +14,7 @@
 import structlog
 import zmq
 
-MOST_AT_ONCE = 64
+MAX_MESSAGES_PER_READ = 64
 """Messages that are handed on before other work of the loop has its turn."""
 
 NOBLOCK = int(zmq.NOBLOCK)
@@ -39,38 +39,38 @@
         self._loop = asyncio.get_running_loop()
         self._descriptor = int(socket.getsockopt(zmq.FD))
         self._is_closed = False
-        self._next_look: asyncio.Handle | None = None
+        self._scheduled_read: asyncio.Handle | None = None
         self._loop.add_reader(self._descriptor, self._read)
-        self.look_soon()
+        self.schedule_read()
 
-    def look_soon(self) -> None:
+    def schedule_read(self) -> None:
         """Look for messages once the present work of the loop is done."""
-        if self._next_look is None and not self._is_closed:
-            self._next_look = self._loop.call_soon(self._look)
+        if self._scheduled_read is None and not self._is_closed:
+            self._scheduled_read = self._loop.call_soon(self._run_scheduled_read)
 
     def close(self) -> None:
         """Stop reading; called before the socket is closed."""
         self._is_closed = True
         self._loop.remove_reader(self._descriptor)
-        if self._next_look is not None:
-            self._next_look.cancel()
+        if self._scheduled_read is not None:
+            self._scheduled_read.cancel()
 
-    def _look(self) -> None:
-        self._next_look = None
+    def _run_scheduled_read(self) -> None:
+        self._scheduled_read = None
         self._read()
 
     def _read(self) -> None:
-        for _ in range(MOST_AT_ONCE):
+        for _ in range(MAX_MESSAGES_PER_READ):
             if self._is_closed:
                 return
             try:
                 parts = self._socket.recv_multipart(NOBLOCK)
             except zmq.Again:
                 return
-            self._hand_on(parts)
-        self.look_soon()
+            self._deliver(parts)
+        self.schedule_read()
 
-    def _hand_on(self, parts: list[bytes]) -> None:
+    def _deliver(self, parts: list[bytes]) -> None:
         try:
             self._on_parts(parts)
         except Exception:
--- a/lycheepost/peers/sockets.py
+++ b/lycheepost/peers/sockets.py
@@ -24,7 +24,7 @@
 from lycheepost.peers.transport import OnMessage
 
 _ZAP_DOMAIN = "peers"
-_MOST_MESSAGE_BYTES = 64 * 1024 * 1024
+_MAX_MESSAGE_BYTES = 64 * 1024 * 1024
 """A whole configuration at the size to design for is 3 MB before compression;
 more than twenty times that is damage or an attack."""
 _LOOPBACK_HOSTS = ("127.0.0.1", "::1")
@@ -119,7 +119,7 @@
             raise PeerError(f"The peer port cannot be opened: {error}.") from error
         bound = router.getsockopt_string(zmq.LAST_ENDPOINT)
         self._port = int(bound.rpartition(":")[2])
-        self._router = _Link(router, SocketReader(router, self._take_routed))
+        self._router = _Link(router, SocketReader(router, self._handle_router_message))
 
     async def stop(self) -> None:
         """Close all links."""
@@ -159,7 +159,7 @@
             )
             dealer.close(linger=0)
             return
-        reader = SocketReader(dealer, partial(self._take_dealt, daemon))
+        reader = SocketReader(dealer, partial(self._handle_dealer_message, daemon))
         self._dealers[daemon] = _Link(dealer, reader)
 
     def disconnect(self, daemon: DaemonId) -> None:
@@ -188,7 +188,7 @@
             self.n_dropped += 1
             return False
         finally:
-            link.reader.look_soon()
+            link.reader.schedule_read()
         self.bytes_out += len(parts[-1])
         return True
 
@@ -199,7 +199,7 @@
         socket.setsockopt(zmq.LINGER, 0)
         socket.setsockopt(zmq.SNDHWM, self._queue_messages)
         socket.setsockopt(zmq.RCVHWM, self._queue_messages)
-        socket.setsockopt(zmq.MAXMSGSIZE, _MOST_MESSAGE_BYTES)
+        socket.setsockopt(zmq.MAXMSGSIZE, _MAX_MESSAGE_BYTES)
         return socket
 
     def _set_own_key(self, socket: zmq.Socket[bytes], keys: PeerKeys) -> None:
@@ -227,7 +227,7 @@
         self._authenticator.start()
         self._authenticator.configure_curve_callback(_ZAP_DOMAIN, _TrustedKeys(trusted))
 
-    def _take_routed(self, parts: list[bytes]) -> None:
+    def _handle_router_message(self, parts: list[bytes]) -> None:
         if len(parts) != 2:
             self.n_dropped += 1
             return
@@ -235,15 +235,15 @@
         name = identity.rpartition(_IDENTITY_SEPARATOR)[0]
         daemon = DaemonId(name.decode(errors="replace"))
         self._accepted[daemon] = identity
-        self._take(daemon, data)
+        self._deliver(daemon, data)
 
-    def _take_dealt(self, daemon: DaemonId, parts: list[bytes]) -> None:
+    def _handle_dealer_message(self, daemon: DaemonId, parts: list[bytes]) -> None:
         if len(parts) != 1:
             self.n_dropped += 1
             return
-        self._take(daemon, parts[0])
+        self._deliver(daemon, parts[0])
 
-    def _take(self, daemon: DaemonId, data: bytes) -> None:
+    def _deliver(self, daemon: DaemonId, data: bytes) -> None:
         self.bytes_in += len(data)
         if self._on_message is not None:
             self._on_message(daemon, data)
--- a/lycheepost/peers/wire.py
+++ b/lycheepost/peers/wire.py
@@ -63,7 +63,7 @@
 }
 
 
-_MOST_UNKNOWN = 64
+_MAX_UNKNOWN_NAMES = 64
 """Names kept apart; a later release adds a few, a faulty one must not fill the
 memory and the log with made-up ones."""
 _OTHER = "(other)"
@@ -115,7 +115,7 @@
     message_type = MESSAGE_TYPES.get(kind)
     if message_type is None:
         if kind not in counts.unknown_kinds:
-            if len(counts.unknown_kinds) >= _MOST_UNKNOWN:
+            if len(counts.unknown_kinds) >= _MAX_UNKNOWN_NAMES:
                 kind = _OTHER
             else:
                 _log.info("peers: unknown kind", kind=kind)
@@ -129,7 +129,7 @@
         return None
     for name in set(document) - _FIELDS[message_type]:
         label = f"{kind}.{name}"
-        if len(counts.unknown_fields) >= _MOST_UNKNOWN:
+        if len(counts.unknown_fields) >= _MAX_UNKNOWN_NAMES:
             label = _OTHER
         counts.unknown_fields[label] += 1
     return message
--- a/lycheepost/ports/http_calls.py
+++ b/lycheepost/ports/http_calls.py
@@ -12,7 +12,7 @@
 
 _IDLE_CONNECTION_SECONDS = 15.0
 """A pooled connection idle for longer may have been forgotten on the way."""
-_MOST_CONNECTIONS = 32
+_MAX_CONNECTIONS = 32
 """Bounds the sockets that a slow service can tie up in one daemon."""
 
 
@@ -83,7 +83,7 @@
     def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             connector = aiohttp.TCPConnector(
-                limit=_MOST_CONNECTIONS, keepalive_timeout=_IDLE_CONNECTION_SECONDS
+                limit=_MAX_CONNECTIONS, keepalive_timeout=_IDLE_CONNECTION_SECONDS
             )
             self._session = aiohttp.ClientSession(connector=connector)
         return self._session
--- a/lycheepost/ports/http_table.py
+++ b/lycheepost/ports/http_table.py
@@ -70,11 +70,11 @@
             case Success(HttpAnswer(status=200, body=data)):
                 return _decode(data, answer_type, is_write)
             case Success(HttpAnswer() as answer):
-                return Failure(_read_status(answer, is_write))
+                return Failure(_status_error(answer, is_write))
             case Failure(NotSent(reason=reason)):
                 return Failure(TableUnavailable(reason))
             case Failure(AnswerLost(reason=reason)):
-                return Failure(_lost(reason, is_write))
+                return Failure(_lost_answer_error(reason, is_write))
         raise AssertionError("unreachable")
 
 
@@ -85,7 +85,7 @@
     return HttpTable(HttpCaller(url, timeout_seconds, session))
 
 
-def _lost(reason: str, is_write: bool) -> TableError:
+def _lost_answer_error(reason: str, is_write: bool) -> TableError:
     return OutcomeUnknown(reason) if is_write else TableUnavailable(reason)
 
 
@@ -93,7 +93,7 @@
     try:
         return Success(msgspec.json.decode(data, type=answer_type))
     except (msgspec.DecodeError, ValueError, RecursionError):
-        return Failure(_lost("The answer could not be read.", is_write))
+        return Failure(_lost_answer_error("The answer could not be read.", is_write))
 
 
 def _check_rows(
@@ -109,20 +109,20 @@
     return Success(answer.rows)
 
 
-def _read_status(answer: HttpAnswer, is_write: bool) -> TableError:
+def _status_error(answer: HttpAnswer, is_write: bool) -> TableError:
     match answer.status:
         case 409:
-            return TableConflict("A condition did not hold.", _read_keys(answer.body))
+            return TableConflict("A condition did not hold.", _decode_keys(answer.body))
         case 429:
             return TableThrottled("The table service is over its rate.")
         case 503:
             return TableUnavailable("The table service is down.")
         case status if status >= 500:
-            return _lost(f"The table service answered {status}.", is_write)
+            return _lost_answer_error(f"The table service answered {status}.", is_write)
     return TableError(f"The table service answered {answer.status}.")
 
 
-def _read_keys(body: bytes) -> tuple[str, ...]:
+def _decode_keys(body: bytes) -> tuple[str, ...]:
     try:
         return msgspec.json.decode(body, type=tuple[str, ...])
     except (msgspec.DecodeError, ValueError, RecursionError):
--- a/lycheepost/ports/retries.py
+++ b/lycheepost/ports/retries.py
@@ -15,29 +15,29 @@
 T = TypeVar("T")
 E = TypeVar("E")
 
-_MOST_TRIES = 3
-_FIRST_PAUSE_SECONDS = 0.05
-_EARNED_PER_CALL = 0.1
+_MAX_ATTEMPTS = 3
+_FIRST_BACKOFF_SECONDS = 0.05
+_RETRIES_PER_CALL = 0.1
 """Retries as a share of calls: a service that is down for all gets a tenth more
 calls, not three times as many, from a fleet that cannot know of each other."""
-_MOST_SAVED = 10.0
+_MAX_AVAILABLE_RETRIES = 10.0
 
 
 @dataclass(slots=True)
 class RetryBudget:
     """Retries that may still be made; each first try earns a tenth of one."""
 
-    saved: float = _MOST_SAVED
+    available: float = _MAX_AVAILABLE_RETRIES
 
-    def earn(self) -> None:
+    def add_attempt(self) -> None:
         """Count one first try."""
-        self.saved = min(_MOST_SAVED, self.saved + _EARNED_PER_CALL)
+        self.available = min(_MAX_AVAILABLE_RETRIES, self.available + _RETRIES_PER_CALL)
 
-    def spend(self) -> bool:
+    def take_retry(self) -> bool:
         """Take one retry; False when none is left."""
-        if self.saved < 1.0:
+        if self.available < 1.0:
             return False
-        self.saved -= 1.0
+        self.available -= 1.0
         return True
 
 
@@ -53,15 +53,15 @@
         is_transient: Whether another try may succeed.
         budget: Shared by all reads of one service.
     """
-    budget.earn()
-    pause_seconds = _FIRST_PAUSE_SECONDS
-    for _ in range(_MOST_TRIES - 1):
+    budget.add_attempt()
+    backoff_seconds = _FIRST_BACKOFF_SECONDS
+    for _ in range(_MAX_ATTEMPTS - 1):
         outcome = await read()
         match outcome:
-            case Failure(error) if is_transient(error) and budget.spend():
+            case Failure(error) if is_transient(error) and budget.take_retry():
                 # Full jitter, so that daemons refused together come back apart.
-                await asyncio.sleep(random.uniform(0, pause_seconds))
-                pause_seconds *= 2
+                await asyncio.sleep(random.uniform(0, backoff_seconds))
+                backoff_seconds *= 2
             case _:
                 return outcome
     return await read()
--- a/lycheepost/utils/collector.py
+++ b/lycheepost/utils/collector.py
@@ -2,9 +2,9 @@
 
 import gc
 
-_YOUNG_OBJECTS = 100_000
-_MIDDLE_ROUNDS = 50
-_OLD_ROUNDS = 100
+_GENERATION_0_THRESHOLD = 100_000
+_GENERATION_1_THRESHOLD = 50
+_GENERATION_2_THRESHOLD = 100
 
 
 def tune_collector() -> None:
@@ -18,4 +18,6 @@
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(_YOUNG_OBJECTS, _MIDDLE_ROUNDS, _OLD_ROUNDS)
+    gc.set_threshold(
+        _GENERATION_0_THRESHOLD, _GENERATION_1_THRESHOLD, _GENERATION_2_THRESHOLD
+    )
--- a/lycheepost/utils/logwriter.py
+++ b/lycheepost/utils/logwriter.py
@@ -18,7 +18,7 @@
 BURST_LINES = 1500.0
 """A restart or a storm of changes may log this much at once."""
 
-KEPT_BYTES = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 """Lines kept while the reader is behind: about a thousand."""
 
 
@@ -40,49 +40,49 @@
         self.n_dropped = 0
         self._file_number = file_number
         self._now_seconds = now_seconds
-        self._kept = bytearray()
-        self._n_untold = 0
+        self._buffer = bytearray()
+        self._n_unreported = 0
         self._tokens = BURST_LINES
-        self._filled_seconds = now_seconds()
+        self._refilled_seconds = now_seconds()
 
     def write(self, text: str) -> int:
         """Take one line; it is written, kept for later, or dropped."""
-        if len(self._kept) > KEPT_BYTES:
+        if len(self._buffer) > MAX_BUFFERED_BYTES:
             # The reader may have caught up since the last line.
             self.flush()
-        if not self._may_write() or len(self._kept) > KEPT_BYTES:
+        if not self._take_token() or len(self._buffer) > MAX_BUFFERED_BYTES:
             self.n_dropped += 1
-            self._n_untold += 1
+            self._n_unreported += 1
         else:
-            if self._n_untold:
-                self._tell_dropped()
-            self._kept += text.encode()
+            if self._n_unreported:
+                self._report_dropped()
+            self._buffer += text.encode()
         return len(text)
 
     def flush(self) -> None:
         """Write what the reader takes now."""
-        while self._kept:
+        while self._buffer:
             try:
-                n_written = os.write(self._file_number, self._kept)
+                n_written = os.write(self._file_number, self._buffer)
             except BlockingIOError:
                 return
             except OSError:
                 # Nobody reads any more, and there is no other place to say so.
-                self._kept.clear()
+                self._buffer.clear()
                 return
-            del self._kept[:n_written]
+            del self._buffer[:n_written]
 
-    def _may_write(self) -> bool:
+    def _take_token(self) -> bool:
         now_seconds = self._now_seconds()
-        earned = (now_seconds - self._filled_seconds) * LINES_PER_SECOND
-        self._filled_seconds = now_seconds
-        self._tokens = min(BURST_LINES, self._tokens + earned)
+        refilled = (now_seconds - self._refilled_seconds) * LINES_PER_SECOND
+        self._refilled_seconds = now_seconds
+        self._tokens = min(BURST_LINES, self._tokens + refilled)
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         line = '{"part":"logs","event":"logs: lines dropped","n_lines":%d}\n'
-        self._kept += (line % self._n_untold).encode()
-        self._n_untold = 0
+        self._buffer += (line % self._n_unreported).encode()
+        self._n_unreported = 0
--- a/lycheepost/utils/metrics.py
+++ b/lycheepost/utils/metrics.py
@@ -79,7 +79,7 @@
     buckets: list[int] = field(default_factory=lambda: [0] * (len(BUCKET_SECONDS) + 1))
     total_seconds: float = 0.0
 
-    def cumulated(self) -> list[tuple[str, float]]:
+    def cumulative_counts(self) -> list[tuple[str, float]]:
         """Return for each upper end how many durations were not longer."""
         ends = [*map(str, BUCKET_SECONDS), "+Inf"]
         sums = itertools.accumulate(self.buckets)
@@ -140,7 +140,9 @@
             "lycheepost_seconds", "Durations", labels=["name"]
         )
         for name, timings in self._timings.items():
-            durations.add_metric([name], timings.cumulated(), timings.total_seconds)
+            durations.add_metric(
+                [name], timings.cumulative_counts(), timings.total_seconds
+            )
         yield durations
 
 
--- a/lycheepost/utils/tasks.py
+++ b/lycheepost/utils/tasks.py
@@ -23,11 +23,11 @@
         name: Tells in the log which task it was.
     """
     task = asyncio.create_task(work, name=name)
-    task.add_done_callback(_tell_fault)
+    task.add_done_callback(_log_failure)
     return task
 
 
-def _tell_fault(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     error = None if task.cancelled() else task.exception()
     if error is not None:
         _log.error("tasks: ended by a fault", task=task.get_name(), exc_info=error)
--- a/lycheepost/utils/tls.py
+++ b/lycheepost/utils/tls.py
@@ -31,8 +31,8 @@
     """The certificate and key cannot be used."""
 
 
-class TlsKeeper:
-    """The TLS context of one listener; made by ``make_tls_keeper``.
+class TlsManager:
+    """The TLS context of one listener; made by ``make_tls_manager``.
 
     Args:
         name: Stands in logs.
@@ -48,12 +48,12 @@
         self._settings = settings
         self._newest = first
         self._digest = digest
-        self._refused_digest = ""
+        self._rejected_digest = ""
         self._task: asyncio.Task[None] | None = None
         self.context = first
-        first.sni_callback = self._hand_over
+        first.sni_callback = self._use_newest_context
 
-    def _hand_over(
+    def _use_newest_context(
         self, connection: ssl.SSLObject, _server_name: str | None, _: ssl.SSLContext
     ) -> None:
         connection.context = self._newest
@@ -71,7 +71,7 @@
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def reread(self) -> bool:
+    def reload(self) -> bool:
         """Use the pair in the files if it is new and whole; return whether it was."""
         digest = _digest_files(self._settings)
         if digest in ("", self._digest):
@@ -86,14 +86,14 @@
                 # The files changed while they were read: look again next time.
                 return False
             case Failure(error):
-                self._log_refused(digest, error)
+                self._log_rejected(digest, error)
         return False
 
-    def _log_refused(self, digest: str, error: TlsError) -> None:
+    def _log_rejected(self, digest: str, error: TlsError) -> None:
         # Once for each content: half written files are the usual case, and a
         # pair that stays broken must not fill the log.
-        if digest != self._refused_digest:
-            self._refused_digest = digest
+        if digest != self._rejected_digest:
+            self._rejected_digest = digest
             _log.warning(
                 "tls: new certificate not used", name=self._name, reason=error.reason
             )
@@ -101,14 +101,14 @@
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(self._settings.reread_seconds)
-            self.reread()
+            self.reload()
 
 
-def make_tls_keeper(name: str, settings: TlsSettings) -> Result[TlsKeeper, TlsError]:
+def make_tls_manager(name: str, settings: TlsSettings) -> Result[TlsManager, TlsError]:
     """Return the keeper of a listener's TLS context, or why there is none."""
     digest = _digest_files(settings)
     return _load(settings).map(
-        lambda context: TlsKeeper(name, settings, context, digest)
+        lambda context: TlsManager(name, settings, context, digest)
     )
 
 
--- a/tools/fuzzquotas.py
+++ b/tools/fuzzquotas.py
@@ -11,7 +11,7 @@
 from lycheepost.core.quotas import Quota, QuotaTolerance, QuotaUnit
 from lycheepost.decide.fleetquota import FleetQuotas
 from lycheepost.generated.messages import CustomerSpent, QuotaSpent
-from lycheepost.peers.quotanews import from_message
+from lycheepost.peers.quota_messages import from_message
 from lycheepost.platform.documents import decode_configuration
 
 CUSTOMER = CustomerId("c")
