--- a/lycheepost/peers/exchange.py
+++ b/lycheepost/peers/exchange.py
@@ -1,8 +1,8 @@
 """Messages between daemons: links, heartbeats, and floods to the whole fleet.
 
-A link that stays silent is replaced by a new one: something between the two ends
-may have lost track of it while new ones work. A daemon that stays silent on the
-new link too is suspected, and the fleet is told.
+A link that receives nothing within the timeout is replaced: a device between the two
+ends may have dropped the connection while new connections work. If the new link times
+out as well, the daemon is marked as suspect and the fleet is notified.
 """
 
 import asyncio
@@ -32,17 +32,17 @@
 from lycheepost.utils.tasks import start_task
 
 _LINK_TIMEOUT_EXCHANGES = 3.0
-"""Exchanges without a word after which a link is replaced; the same again, and
-the daemon is suspected."""
+"""Exchanges without a message after which a link is replaced; after as many again the
+daemon is marked as suspect."""
 _INCOMING_TIMEOUT_EXCHANGES = 15.0
-"""An incoming link that is silent for so long is no longer written to."""
+"""Exchanges without a message after which nothing is sent on an incoming link."""
 _MAX_REMEMBERED_FLOODS = 4096
-"""Floods remembered so as to pass each on once. At the size to design for a few
-come each second, and one takes well under a second to reach everybody."""
+"""Floods remembered in order to forward each one once. At the design size a few arrive
+each second, and one takes well under a second to reach the fleet."""
 MAX_MEMBER_REQUESTS = 2
-"""Peers that a daemon asks for all members in one exchange, until one has answered. Of
-two hundred members each answer takes forty kilobytes, and when all daemons start at
-once each of them would be sent it ten times."""
+"""Peers that a daemon asks for all members in one exchange, until one has answered.
+With 200 members each answer takes 40 kB; when all daemons start at once, each would
+otherwise receive it ten times."""
 
 _PROBE_INTERVAL_EXCHANGES = 30
 _NO_LINK_INTERVAL_SECONDS = 0.1
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class _Link:
-    """What is known of the link with one daemon."""
+    """State of the link with one daemon."""
 
     last_contact_seconds: float
     opened_seconds: float
@@ -63,13 +63,13 @@
     n_silences: int = 0
     sent_seconds: float = float("-inf")
     revision: int = 0
-    """The highest revision that the other end is known to know of."""
+    """The highest revision that the other end is known to have been notified of."""
     wants_floods: bool = True
-    """What the other end said last."""
+    """From the last hello of the other end."""
 
 
 class PeerExchange:
-    """The peer part of one daemon; made by ``make_peer_exchange``."""
+    """Links of one daemon with its peers; made by ``make_peer_exchange``."""
 
     def __init__(
         self,
@@ -108,7 +108,7 @@
         self._task = start_task(self._run(), "peer-exchange")
 
     async def drain(self) -> None:
-        """Do nothing: members announce that this daemon leaves."""
+        """Do nothing: ``MemberKeeper.drain`` announces that this daemon leaves."""
 
     async def stop(self) -> None:
         """Close all links."""
@@ -141,7 +141,7 @@
         self._subscribers[message_type].append(on_message)
 
     def broadcast(self, message: Any) -> None:
-        """Flood a message to every daemon that can be reached."""
+        """Flood a message to every reachable daemon."""
         self._n_floods += 1
         me = self._members.me()
         flood = PeerFlood(
@@ -155,20 +155,20 @@
         self._send_to_links(flood, None)
 
     def send(self, daemon: DaemonId, message: Any) -> bool:
-        """Send to one daemon with whom there is a link; False when dropped."""
+        """Send to one linked daemon; return False when the message was dropped."""
         return self._send_data(daemon, encode_message(message))
 
     def send_to_each(self, daemons: Iterable[DaemonId], message: Any) -> None:
-        """Send one message to several daemons; it is packed once."""
+        """Send one message to several daemons, encoded once."""
         data = encode_message(message)
         for daemon in daemons:
             self._send_data(daemon, data)
 
     def send_revision(self) -> None:
-        """Tell the revision in force to the links that do not know of it.
+        """Send the current revision on the links whose other end lacks it.
 
-        Links over which it came, or that have told it themselves, are left out:
-        at 64,000 changes a day this halves what a change costs.
+        Links over which it arrived, or whose other end has reported it, are skipped:
+        at 64,000 changes a day this halves the cost of a change.
         """
         revision = self._get_revision()
         for daemon, link in list(self._links.items()):
@@ -176,11 +176,11 @@
                 self._send_heartbeat(daemon, link, revision)
 
     def linked_daemons(self) -> tuple[DaemonId, ...]:
-        """Return the daemons with whom there is a link."""
+        """Return the daemons with which there is a link."""
         return tuple(self._links)
 
     def flooded_daemons(self) -> tuple[DaemonId, ...]:
-        """Return those of them to whom floods go."""
+        """Return the linked daemons to which floods are sent."""
         return tuple(
             daemon for daemon, link in self._links.items() if self._floods(daemon, link)
         )
@@ -197,15 +197,15 @@
             self._send_heartbeats(now_seconds)
             self._n_exchanges += 1
             self._n_member_requests = 0
-            # Until there is a link, members may become known at any moment, and
-            # a daemon that has just started needs its peers at once.
+            # Without a link, check more often: members may become known at any time,
+            # and a daemon that has just started needs its peers immediately.
             pause_seconds = self._exchange_seconds
             if not self._links:
                 pause_seconds = min(_NO_LINK_INTERVAL_SECONDS, pause_seconds)
             await asyncio.sleep(pause_seconds)
 
     def _send_heartbeats(self, now_seconds: float) -> None:
-        """Send one on each link that carried nothing since the last exchange."""
+        """Send one on each link that is idle or whose other end lacks the revision."""
         revision = self._get_revision()
         due_seconds = now_seconds - self._exchange_seconds / 2
         for daemon, link in list(self._links.items()):
@@ -267,7 +267,7 @@
         self.send(daemon, hello)
 
     def _check_silence(self, now_seconds: float) -> None:
-        """Replace links that have gone silent without being closed."""
+        """Replace links that time out without having been closed."""
         timeout_seconds = _LINK_TIMEOUT_EXCHANGES * self._exchange_seconds
         incoming_timeout_seconds = _INCOMING_TIMEOUT_EXCHANGES * self._exchange_seconds
         for daemon, link in list(self._links.items()):
@@ -306,7 +306,7 @@
         link = self._record_contact(sender)
         match message:
             case PeerHeartbeat(revision=revision):
-                # A lost message or a restart may have put it behind again.
+                # May be lower than before, after a lost message or a restart.
                 link.revision = revision
                 self._pass_to_subscribers(message, sender)
             case PeerFlood():
@@ -332,7 +332,7 @@
     def _receive_flood(self, flood: PeerFlood, sender: DaemonId) -> None:
         if not self._remember_flood(flood):
             return
-        # Passed on before it is understood: a newer release behind this one
+        # Forwarded before it is decoded: a daemon of a newer release beyond this one
         # may know the kind.
         self._send_to_links(flood, sender)
         message = decode_body(flood.kind, flood.body, self.counts)
@@ -340,7 +340,7 @@
             self._pass_to_subscribers(message, DaemonId(flood.origin))
 
     def _remember_flood(self, flood: PeerFlood) -> bool:
-        """Return whether a flood is new here."""
+        """Record a flood; return whether it is new."""
         key = (flood.origin, flood.boot, flood.sequence)
         if key in self._seen_floods:
             return False
@@ -371,12 +371,12 @@
     neighbours: tuple[Member, ...],
     peers: tuple[Member, ...],
 ) -> frozenset[DaemonId]:
-    """Return the mates to whom floods are not sent, and who need not send them to us.
+    """Return the peers to which no floods are sent and which need not send any.
 
-    The neighbours alone reach everybody. Were floods to go over the links with all
-    mates as well, each daemon of a large fleet would get every flood ten times, and
-    one that thirty others ask would send it thirty times. Where the mates are the whole
-    fleet, they get it straight.
+    Floods over the links with neighbours alone reach the whole fleet. If they were sent
+    to all ``peers`` as well, each daemon of a large fleet would receive every flood ten
+    times, and one that thirty others ask would send it thirty times. When ``peers`` are
+    the whole fleet, floods are sent to them directly.
     """
     if len(peers) + 1 >= len(members):
         return frozenset()
@@ -393,13 +393,13 @@
     exchange_seconds: float = 1.0,
     choose_peers: ChoosePeers = lambda _members: (),
 ) -> PeerExchange:
-    """Return the peer part of one daemon.
+    """Return the links of one daemon with its peers.
 
     Args:
         transport: Links by socket or in memory.
-        members: Whom there is to link with.
+        members: The daemons that can be linked with.
         clock: Clock of this daemon.
-        get_revision: Returns the revision in force, told in heartbeats.
+        get_revision: Returns the current revision, which heartbeats carry.
         fanout: Links that this daemon opens.
         exchange_seconds: Time between heartbeats.
         choose_peers: Picks further members to hold links with.
--- a/lycheepost/peers/feedshare.py
+++ b/lycheepost/peers/feedshare.py
@@ -1,14 +1,14 @@
-"""Follow the store through a peer that follows it, directly or through another.
+"""Follow the store through a peer that follows it, directly or through another peer.
 
-Few daemons ask the store; the others ask one of these, or one that does, and turn to
-the store themselves when nobody answers, or all are behind or cut off. So the calls
-to the store hardly grow with the daemons, and nothing is served by word of a peer that
-the store would not have said.
+Few daemons poll the store. The others ask one of these, or a daemon that does, and
+poll the store themselves when no peer answers, or when all are behind or cut off. The
+number of calls to the store hardly grows with the number of daemons, and a peer passes
+on nothing that the store has not answered.
 
-How fresh an answer is counts from the arrival of its question at the peer: that lies
-after its sending here, so what was confirmed so long after the arrival was confirmed
-at least so long after the sending. Neither a message that was long on its way nor a
-daemon that slept makes an answer look fresher than it is.
+The freshness of an answer is measured from the arrival of its request at the peer.
+That is after the request was sent here, so a state confirmed some time after the
+arrival was confirmed at least that long after the sending. Neither a delayed message
+nor a suspended daemon makes an answer appear fresher than it is.
 """
 
 import asyncio
@@ -31,54 +31,58 @@
 from lycheepost.utils.tasks import start_task
 
 PEER_HOLD_SECONDS = 0.6
-"""How long a question to a peer is held. Keys rest on confirmations of up to 3.8 s.
-What a peer passes on is up to 2.4 s old, and 3.0 s when its answer comes."""
+"""How long a peer holds a request without a change. Keys are accepted on confirmations
+of up to 3.8 s. A state passed on by a peer is up to 2.4 s old, and 3.0 s when its answer
+arrives."""
 
 MAX_PEERS_ASKED = 2
-"""Peers that are asked one after the other before the store is."""
+"""Peers to ask in sequence before asking the store."""
 
 STORE_HOLD_SECONDS = 0.8
-"""How long the store holds a question of a daemon that answers others."""
+"""How long the store holds a request without a change."""
 
 ANSWER_MARGIN_SECONDS = 0.3
-"""Beyond the time of holding; later the peer counts as dead. Between availability
-zones a message takes a few milliseconds, and a daemon is rarely busy for so long."""
+"""Time beyond the hold time after which a peer counts as failed. Between availability
+zones a message takes a few milliseconds, and a daemon is rarely busy for that long."""
 
 FAILED_PEER_PAUSE_SECONDS = 5.0
-"""How long a peer that failed is not asked; the next one is, or the store.
-A peer that died is found out within that time."""
+"""How long a peer that did not answer is not asked; the next one is, or the store.
+A dead peer is removed from the members within that time."""
 
 REFUSED_PEER_PAUSE_SECONDS = 2.0
-"""The same for a peer that answers, but has not heard the store itself: it has just
-started, or will have found its own way back by then."""
+"""How long a peer that refused is not asked. It answers, but has no recent answer of the
+store: it has just started, or will have reached the store again by then."""
 
 STORE_INTERVAL_SECONDS = 0.25
-"""Shortest time between two questions to the store for one table. While weights are
-changed the servers' entries change some twenty times a second, and each change would
-be asked for by itself; targets that leave must be known within two seconds."""
+"""Minimum time between two requests to the store for one table. While weights are
+changed the entries of servers change some twenty times a second, and each change would
+cost a request of its own. Targets that leave must be known within two seconds."""
 
 START_DELAY_SECONDS = 1.2
 """How long after its start a daemon asks the store for no changes: by then it knows
-whom else to ask. What it read at its start counts as fresh for three times as long.
-When two hundred start at once, their first questions were a tenth of a day's calls."""
+its peers. The state read at the start counts as fresh for three times as long. Without
+the delay, the first requests of 200 daemons that start at once are a tenth of a day's
+calls."""
 
 FALLBACK_STORE_INTERVAL_SECONDS = 0.8
-"""The same where a peer should tell, but does not. After the start of two hundred
-daemons that is so for a second or two, in which the entries of all servers change."""
+"""Minimum time between two requests to the store where peers are configured as sources
+but none answers. After the start of 200 daemons this lasts a second or two, during
+which the entries of all servers change."""
 
 LOST_STORE_INTERVAL_SECONDS = 3.0
-"""The same for a daemon that nobody asks, once the store has not answered it either.
-When the store is down, two hundred daemons that each tried once a second would make
-most of a day's calls; those that others ask go on trying, and tell of its return."""
+"""Minimum time between two requests for a daemon that no peer asks, once the store has
+failed to answer it as well. With the store down, 200 daemons that each retried once a
+second would make most of a day's calls. Daemons that others ask keep retrying and
+report the store's return."""
 
 NO_LINK_PAUSE_SECONDS = 0.2
-"""How long a peer is not asked that there is no link with yet."""
+"""How long a peer without a link is not asked."""
 
 HELD_CHECK_INTERVAL_SECONDS = 0.1
-"""Between two looks at what is held for too long."""
+"""Time between two checks for held requests that are due."""
 
 ASKED_BY_PEERS_SECONDS = 5.0
-"""A daemon that was asked so long ago counts as one that others ask."""
+"""How long after its last request from a peer a daemon counts as one that others ask."""
 
 NO_VERSION = -1
 
@@ -86,7 +90,7 @@
 
 
 class PeerFailure(Enum):
-    """Why a peer did not answer."""
+    """Why a peer gave no answer."""
 
     NO_LINK = "no link yet"
     NO_ANSWER = "no answer"
@@ -94,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _HeldRequest:
-    """A question of a peer that waits for a change."""
+    """A request of a peer that waits for a change."""
 
     sender: DaemonId
     ask: FeedAsk
@@ -109,10 +113,10 @@
     """Implements ``ports.feed.FeedPort`` over a peer and the store.
 
     Args:
-        store: The store's own feed.
+        store: Feed that asks the store itself.
         exchange: Links to the peers.
         clock: A clock that counts suspension.
-        get_sources: Returns the peers to ask, best first; none to ask the store.
+        get_sources: Returns the peers to ask, best first; empty to ask the store.
     """
 
     def __init__(
@@ -144,12 +148,12 @@
         exchange.subscribe(FeedAnswer, self._handle_answer)
 
     async def start(self) -> None:
-        """Begin to answer peers."""
+        """Start to answer peers."""
         self._started_seconds = self._clock.now_seconds()
         self._task = start_task(self._run(), "feed-share")
 
     async def drain(self) -> None:
-        """Go on: peers may still ask."""
+        """Do nothing: peers may still send requests."""
 
     async def stop(self) -> None:
         """Stop answering."""
@@ -157,7 +161,7 @@
             self._task.cancel()
 
     def status(self) -> dict[str, object]:
-        """Return where the store's word comes from, for the status page."""
+        """Return the source of changes and counts for the status page."""
         return {
             "source": self._current_source() or "store",
             "n_peer_answers": self.n_peer_answers,
@@ -168,8 +172,8 @@
     async def read_table(self, table: str) -> Result[Changes, TableError]:
         """Return every row of ``table``.
 
-        A peer is asked only as long as nothing is known: its copy may be older than
-        what was known here before, and rows would go back.
+        A peer is asked only while nothing is known of the table. Its copy may be older
+        than the rows known here, which would then go back to earlier values.
         """
         if table not in self._known_tables:
             changes = await self._ask_peers(table, NO_VERSION, 0.0)
@@ -205,7 +209,7 @@
         answer: Result[Changes, TableError],
         sent_seconds: float,
     ) -> Result[Changes, TableError]:
-        """Keep what the store told, and answer the peers that wait for it."""
+        """Apply an answer of the store to the copy, and answer held requests."""
         mirror = self._mirrors[table]
         match answer:
             case Success(changes):
@@ -217,7 +221,7 @@
         return answer
 
     async def _wait_for_store_interval(self, table: str) -> None:
-        """Wait until the store may be asked again for a table."""
+        """Wait until the store may be asked for a table again."""
         now_seconds = self._clock.now_seconds()
         asked_seconds = self._store_asked_seconds.get(table, float("-inf"))
         due_seconds = max(
@@ -238,7 +242,7 @@
         return FALLBACK_STORE_INTERVAL_SECONDS
 
     def _current_source(self) -> DaemonId | None:
-        """Return the peer to ask now; None for the store."""
+        """Return the peer to ask, or None for the store."""
         now_seconds = self._clock.now_seconds()
         for daemon in self._get_sources():
             if now_seconds >= self._failed_until.get(daemon, float("-inf")):
@@ -248,11 +252,11 @@
     async def _ask_peers(
         self, table: str, after: int, wait_seconds: float
     ) -> Changes | None:
-        """Return what a peer told; None where the store is to be asked.
+        """Return the changes from a peer, or None if the store has to be asked.
 
-        One that refuses has lost its own way to the store, for itself alone or for
-        all that ask through it. The next one is asked at once: were all of these to
-        turn to the store, two hundred daemons would ask it at the same moment.
+        A peer that refuses has lost its connection to the store. The next one is asked
+        immediately: if every daemon that asks the failed peer turned to the store
+        instead, 200 daemons would ask it at the same moment.
         """
         for _ in range(MAX_PEERS_ASKED):
             source = self._current_source()
@@ -266,7 +270,7 @@
     async def _ask_peer(
         self, source: DaemonId, table: str, after: int, wait_seconds: float
     ) -> Changes | None:
-        """Return what one peer told; None where it told nothing."""
+        """Return the changes from one peer, or None if it failed or refused."""
         number = next(self._request_numbers)
         ask = FeedAsk(
             number=number, table=table, after=after, wait_seconds=wait_seconds
@@ -300,12 +304,12 @@
             answer.is_whole,
             confirmed_seconds,
         )
-        # Kept as well, or the copy would have a gap once the store is asked again.
+        # Without these changes the copy would have a gap once the store is asked again.
         self._mirrors[table].take(changes, after, confirmed_seconds)
         return changes
 
     async def _send(self, source: DaemonId, ask: FeedAsk) -> FeedAnswer | PeerFailure:
-        """Send a question and return its answer, or why there is none."""
+        """Send a request and return its answer, or why there is none."""
         future: asyncio.Future[FeedAnswer]
         future = asyncio.get_running_loop().create_future()
         self._answers[ask.number] = future
@@ -351,7 +355,7 @@
         self._exchange.send(held.sender, FeedAnswer(number=held.ask.number))
 
     def _try_answer(self, held: _HeldRequest, now_seconds: float) -> bool:
-        """Answer a question if there is something to tell; return whether so."""
+        """Answer a request if it has changes or is due; return whether it did."""
         mirror = self._mirrors[held.ask.table]
         changes = mirror.changes_after(held.ask.after)
         is_due = now_seconds >= held.until_seconds
@@ -371,7 +375,7 @@
         return True
 
     def _answer_held(self) -> None:
-        """Answer what can be answered now, and refuse what cannot be in time."""
+        """Answer the held requests that can be answered, and refuse overdue ones."""
         now_seconds = self._clock.now_seconds()
         kept: list[_HeldRequest] = []
         for held in self._held:
--- a/lycheepost/peers/member_messages.py
+++ b/lycheepost/peers/member_messages.py
@@ -1,4 +1,4 @@
-"""Turn the state's records into peer messages and back."""
+"""Convert members to peer messages and back."""
 
 from lycheepost.core.capacity import Capacity
 from lycheepost.core.ids import AvailabilityZone, DaemonId
@@ -7,7 +7,7 @@
 
 
 def to_peer_member(member: Member) -> PeerMember:
-    """Return a member as it travels."""
+    """Return a member as a peer message."""
     return PeerMember(
         daemon=member.daemon,
         boot=member.boot,
@@ -24,7 +24,7 @@
 
 
 def from_peer_member(message: PeerMember) -> Member | None:
-    """Return a member, or None when its state is of a newer release."""
+    """Return a member, or None when its state is unknown to this release."""
     try:
         state = MemberState(message.state)
     except ValueError:
--- a/lycheepost/peers/membership.py
+++ b/lycheepost/peers/membership.py
@@ -1,9 +1,8 @@
-"""Pass what is known of daemons and targets between peers.
+"""Exchange the states of daemons and targets between peers.
 
-News of daemons travels from link to link: whoever learns something passes it on
-to its other links, a short while later, together with what else it has learned.
-When a whole fleet starts, that is a few messages per link instead of one for
-each pair of daemons.
+Updates of daemons are forwarded from link to link: a daemon collects what it receives
+for a short time and then sends it on its other links in one message. When a whole fleet
+starts, that is a few messages per link instead of one for each pair of daemons.
 """
 
 import asyncio
@@ -19,12 +18,12 @@
 from lycheepost.state.signs import SignSource, TargetSign
 
 _BATCH_SECONDS = 0.1
-"""News of daemons waits this long for more; five steps take half a second, well
-inside the few seconds after which a leaving daemon must be avoided."""
+"""How long updates of daemons are collected before they are sent. Five hops take half a
+second, well inside the few seconds within which a leaving daemon must be avoided."""
 
 
 class MemberExchange:
-    """Connects a daemon's members with the peers; it has no task of its own."""
+    """Synchronizes a daemon's member list with its peers; runs no task of its own."""
 
     def __init__(
         self, exchange: PeerExchange, members: MemberKeeper, clock: Clock
@@ -47,12 +46,12 @@
         if self._members.hear(member):
             self._queue_update(member.daemon, sender)
         elif known is not None and known.state is not member.state:
-            # It does not know that others gave it up: it must say again, with a
-            # higher sequence, that it lives.
+            # Others have marked the sender as suspect or gone. It must learn of this to
+            # announce itself as live with a higher sequence.
             self._exchange.send(sender, MemberNews(members=[to_peer_member(known)]))
         if hello.wants_members:
-            everybody = [to_peer_member(item) for item in self._members.members()]
-            self._exchange.send(sender, MemberNews(members=everybody))
+            members = [to_peer_member(item) for item in self._members.members()]
+            self._exchange.send(sender, MemberNews(members=members))
 
     def _handle_members(self, updates: MemberNews, sender: DaemonId) -> None:
         for message in updates.members:
@@ -60,21 +59,21 @@
             if member is not None and self._members.hear(member):
                 self._queue_update(member.daemon, sender)
 
-    def _handle_target(self, updates: TargetNews, sender: DaemonId) -> None:
+    def _handle_target(self, update: TargetNews, sender: DaemonId) -> None:
         try:
-            state = TargetState(updates.state)
+            state = TargetState(update.state)
         except ValueError:
             return
-        sign = TargetSign(SignSource.PEER, state, updates.valid_seconds)
+        sign = TargetSign(SignSource.PEER, state, update.valid_seconds)
         self._members.observe_target(
-            TargetId(updates.target), sign, self._clock.now_seconds()
+            TargetId(update.target), sign, self._clock.now_seconds()
         )
 
     def _publish_member(self, member: Member) -> None:
         self._queue_update(member.daemon, None)
 
     def _queue_update(self, daemon: DaemonId, source: DaemonId | None) -> None:
-        """Tell every link but the one over which the news came."""
+        """Queue an update for every link except the one over which it arrived."""
         if not self._updates:
             loop = asyncio.get_running_loop()
             loop.call_later(_BATCH_SECONDS, self._send_updates)
@@ -85,7 +84,7 @@
         known = {daemon: self._members.get(daemon) for daemon in updates}
         flooded_daemons = set(self._exchange.flooded_daemons())
         for link in self._exchange.linked_daemons():
-            # Over other links goes only what nobody else has told before.
+            # Links without floods get only updates that originate here.
             members = [
                 to_peer_member(member)
                 for daemon, source in updates.items()
--- a/lycheepost/peers/neighbours.py
+++ b/lycheepost/peers/neighbours.py
@@ -1,16 +1,16 @@
-"""Whom to hold links with; pure logic.
+"""Select the daemons to open links to; pure logic.
 
 A full mesh of 540 daemons would be 145,000 links, each with heartbeats. Instead
-the daemons stand in ``fanout`` rings, each in its own pseudo-random order, and
-everybody opens a link to its successor in each ring. So every daemon has about
-``2 * fanout`` links, none has many more, each ring alone connects the fleet, and
-a message floods 540 daemons in four to five steps. Rendezvous hashing was tried
-first: some daemons were then chosen by three times as many as others and spent
-3.5 KB a second where the mean was 1.9.
+the daemons form ``fanout`` rings, each in its own pseudo-random order, and each
+daemon opens a link to its successor in each ring. Every daemon has about
+``2 * fanout`` links and none has many more; each ring alone connects the fleet, and
+a flood reaches 540 daemons in four to five hops. Rendezvous hashing balances worse:
+some daemons are chosen by three times as many as others and send 3.5 KB a second
+where the mean is 1.9.
 
-All rings but the last go around one availability zone where that has enough daemons:
-a flood then crosses between zones once for each daemon and not three times, and when
-two hundred start at once that is most of what crosses.
+All rings but the last stay within one availability zone where that has enough daemons.
+A flood then crosses between zones once for each daemon instead of three times, which is
+most of the traffic between zones when two hundred daemons start at once.
 """
 
 from collections.abc import Iterable
@@ -20,21 +20,22 @@
 from lycheepost.state.addresses import Member, MemberState
 
 LINKED_STATES = (MemberState.LIVE, MemberState.LEAVING)
-"""A daemon that leaves, or says that it cannot serve for now, still passes news on, and
-must hear and be heard. When all of a fleet cannot serve, as before the first
-configuration, each would otherwise close its links and hear of nobody's return."""
+"""States of daemons to link with. A daemon that is leaving, or reports that it cannot
+serve at present, still exchanges messages and forwards them. If a whole fleet cannot
+serve, as before the first configuration, each daemon would otherwise close its links
+and not learn when the others return."""
 
 MIN_ZONE_RING_DAEMONS = 8
-"""Other daemons of a zone from which on it has rings of its own. In a ring of fewer,
-two that die at once often lie next to each other in both of its rings."""
+"""Fewest other daemons in a zone for which it has rings of its own. With fewer, two that
+fail at once are often adjacent in both of its rings."""
 
 
 def choose_neighbours(
     me: DaemonId, members: Iterable[Member], fanout: int
 ) -> tuple[Member, ...]:
-    """Return the members to open links to: the next one in each ring.
+    """Return the members to open links to: the successor in each ring.
 
-    One daemon that comes or goes changes the link of its predecessors only.
+    A daemon that joins or leaves changes the links of its predecessors only.
     """
     known = tuple(members)
     zone = next((item.availability_zone for item in known if item.daemon == me), None)
@@ -66,10 +67,10 @@
 
 
 def choose_probe(me: DaemonId, members: Iterable[Member], turn: int) -> Member | None:
-    """Return one member that seems dead, a different one each turn.
+    """Return one member that is suspect or gone, a different one each turn.
 
-    Without this two regions that lost each other for an hour would never look
-    for each other again: each side has taken the other for gone.
+    Without probes, two regions that were partitioned for an hour would never link
+    again: each side has marked the other as gone.
     """
     doubtful = sorted(
         (
--- a/lycheepost/peers/notice_messages.py
+++ b/lycheepost/peers/notice_messages.py
@@ -1,4 +1,4 @@
-"""What targets have said of themselves, as it travels between daemons."""
+"""Convert limits and leaving states that targets reported to peer messages and back."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -14,7 +14,7 @@
     leaving: Iterable[TargetStart],
     now_seconds: float,
 ) -> NoticeNews:
-    """Return what travels between daemons."""
+    """Return the message to send to peers."""
     return NoticeNews(
         limits=[
             TargetLimit(
@@ -35,7 +35,7 @@
 def limits_of(
     message: NoticeNews, now_seconds: float
 ) -> list[tuple[TargetId, SaidLimit]]:
-    """Return the limits that a message tells; figures that are none are left out."""
+    """Return the limits in a message; invalid figures are left out."""
     return [
         (
             TargetId(item.target),
@@ -51,7 +51,7 @@
 
 
 def leaving_of(message: NoticeNews) -> list[TargetStart]:
-    """Return the starts of targets that a message tells to be leaving."""
+    """Return the starts of targets that a message reports as leaving."""
     return [
         TargetStart(TargetId(item.target), item.started_ms) for item in message.leaving
     ]
--- a/lycheepost/peers/quota_messages.py
+++ b/lycheepost/peers/quota_messages.py
@@ -1,4 +1,4 @@
-"""What daemons say of quotas, as it travels between them."""
+"""Convert the quota usage that daemons report to peer messages and back."""
 
 import math
 
@@ -9,7 +9,7 @@
 
 
 def to_message(usage: QuotaNews) -> QuotaSpent:
-    """Return what travels between daemons."""
+    """Return the message to send to peers."""
     return QuotaSpent(
         start=usage.start,
         is_entry=usage.is_entry,
@@ -25,10 +25,10 @@
 
 
 def from_message(message: QuotaSpent) -> QuotaNews:
-    """Return what a message says.
+    """Return the usage in a message.
 
-    A count that is no number would be in the bucket for good, and its customer be
-    refused, or let through, for as long as the daemon lives; it is left out.
+    Counts that are not finite are left out. One would stay in the token bucket and have
+    its customer always refused, or always admitted, until the daemon restarts.
     """
     return QuotaNews(
         message.start,
--- a/lycheepost/peers/revisions.py
+++ b/lycheepost/peers/revisions.py
@@ -1,9 +1,9 @@
-"""Pass configuration revisions between peers.
+"""Exchange configuration revisions between peers.
 
-A heartbeat names the sender's revision; whoever is behind asks the sender for
-the rest and gets deltas, or the whole when it is far behind. A daemon that
-adopts a revision tells its links at once, so a change crosses the fleet in a few
-steps without a look at the table.
+A heartbeat carries the sender's revision. A daemon that is behind requests the rest
+from the sender and receives deltas, or the whole configuration when it is far behind.
+A daemon that adopts a revision notifies its links immediately, so that a change reaches
+the fleet in a few hops without reads of the table.
 """
 
 import zlib
@@ -27,13 +27,13 @@
 from lycheepost.state.view import ConfigurationView
 
 _FETCH_RETRY_SECONDS = 1.0
-"""While an answer is awaited no other peer is asked for the same, because every
-link tells of a new revision within milliseconds."""
+"""How long one request is awaited before another peer is asked for the same revision.
+Every link reports a new revision within milliseconds."""
 _log = structlog.get_logger(part="peers")
 
 
 class RevisionExchange:
-    """Connects a daemon's configuration with the peers; it has no task."""
+    """Synchronizes a daemon's configuration with its peers; runs no task."""
 
     def __init__(
         self, exchange: PeerExchange, revisions: RevisionKeeper, clock: Clock
@@ -75,7 +75,7 @@
     def _send_whole(self, sender: DaemonId) -> None:
         revision, data = self._encoded_snapshot
         if revision != self._revisions.revision:
-            # Packed once for a herd of peers that all start from nothing.
+            # Encoded once for all peers that start without a configuration.
             revision = self._revisions.revision
             data = zlib.compress(encode_snapshot(self._revisions.accepted), level=1)
             self._encoded_snapshot = (revision, data)
--- a/lycheepost/peers/shared.py
+++ b/lycheepost/peers/shared.py
@@ -1,4 +1,4 @@
-"""The shared state of one daemon, put together: one part to start and stop."""
+"""Composes the shared state of one daemon into one component to start and stop."""
 
 import secrets
 from dataclasses import dataclass
@@ -27,12 +27,12 @@
 SNAPSHOT_DUTY = "snapshots"
 EXPIRY_DUTY = "claim-expiry"
 _DUTY_PERIOD_SHARE = 0.3
-"""Of a lease: three tries to renew before it runs out."""
+"""Share of a lease's length between renewals: three attempts before it expires."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """The platform's services that the shared state uses."""
+    """The platform services that the shared state uses."""
 
     table: TablePort
     objects: ObjectPort
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedState:
-    """The parts of one daemon's shared state; made by ``make_shared_state``."""
+    """Components of one daemon's shared state; made by ``make_shared_state``."""
 
     revisions: RevisionKeeper
     members: MemberKeeper
@@ -51,7 +51,7 @@
     duties: tuple[DutyRunner, ...]
 
     async def start(self) -> None:
-        """Start every part: peers before the table, so that they answer first."""
+        """Start every component: peers before the table, so that they answer first."""
         await self.exchange.start()
         await self.members.start()
         await self.revisions.start()
@@ -60,14 +60,14 @@
             await duty.start()
 
     async def drain(self) -> None:
-        """Leave the addresses answers, store answers, give duties up."""
+        """Withdraw from addresses answers, store answers and release duties."""
         await self.members.drain()
         for duty in self.duties:
             await duty.drain()
         await self.claims.drain()
 
     async def stop(self) -> None:
-        """Stop every part in reverse."""
+        """Stop every component in reverse order."""
         for duty in self.duties:
             await duty.stop()
         await self.claims.stop()
@@ -76,7 +76,7 @@
         await self.exchange.stop()
 
     def status(self) -> dict[str, object]:
-        """Return the status of every part."""
+        """Return the status of every component."""
         return {
             "revisions": self.revisions.status(),
             "members": self.members.status(),
@@ -104,10 +104,10 @@
         clock: A clock that counts suspension.
         settings: The daemon's settings.
         fallback: Configuration to serve from until a better source answers.
-        callers_url: Where callers reach this daemon, if it is known yet; else
-            ``members.set_callers_url`` tells it later.
+        callers_url: Where callers reach this daemon, if already known; otherwise
+            set later by ``members.set_callers_url``.
         boot: Unique for each start of the daemon, also the seed of its jitter;
-            made up when empty.
+            generated when empty.
         choose_peers: Picks members to hold links with, beside those of the rings.
     """
     daemon = DaemonId(settings.daemon.daemon_id)
@@ -202,4 +202,4 @@
 
 
 _MIN_DAEMONS = 7
-"""Daemons of today's deployments, assumed until members tell of more."""
+"""Daemons of a typical deployment, assumed until more members are known."""
--- a/lycheepost/peers/socketreader.py
+++ b/lycheepost/peers/socketreader.py
@@ -1,8 +1,8 @@
-"""Hands on what a ZeroMQ socket receives, on the event loop.
+"""Delivers the messages of a ZeroMQ socket on the event loop.
 
-ZeroMQ tells by a descriptor that something has changed, and only once until all of it
-was taken. So each notice reads until nothing is left, and a send, which may take a
-notice with it, is followed by a look as well.
+ZeroMQ's file descriptor is edge-triggered: it signals once, and not again until all
+messages have been read. So each event reads until the socket is empty, and each send,
+which may consume an event, schedules a read as well.
 
 ``zmq.asyncio`` does the same with a future for each message, which takes longer than
 the message itself.
@@ -15,10 +15,10 @@
 import zmq
 
 MAX_MESSAGES_PER_READ = 64
-"""Messages that are handed on before other work of the loop has its turn."""
+"""Messages delivered in one go before the event loop runs other callbacks."""
 
 NOBLOCK = int(zmq.NOBLOCK)
-"""As a plain number: an operation on pyzmq's flags takes longer than a receive."""
+"""As a plain integer: an operation on pyzmq's flags takes longer than a receive."""
 
 OnParts = Callable[[list[bytes]], None]
 
@@ -29,8 +29,8 @@
     """Reads one socket until it is closed.
 
     Args:
-        socket: What to read.
-        on_parts: Gets the frames of each message.
+        socket: The socket to read.
+        on_parts: Called with the frames of each message.
     """
 
     def __init__(self, socket: zmq.Socket[bytes], on_parts: OnParts) -> None:
@@ -44,7 +44,7 @@
         self.schedule_read()
 
     def schedule_read(self) -> None:
-        """Look for messages once the present work of the loop is done."""
+        """Read the socket on the next iteration of the event loop."""
         if self._scheduled_read is None and not self._is_closed:
             self._scheduled_read = self._loop.call_soon(self._run_scheduled_read)
 
@@ -74,5 +74,6 @@
         try:
             self._on_parts(parts)
         except Exception:
-            # Raised, it would leave what waits behind it unread until the next notice.
+            # If raised, the messages behind this one would stay unread until the next
+            # event.
             _log.exception("peers: a message could not be taken")
--- a/lycheepost/peers/sockets.py
+++ b/lycheepost/peers/sockets.py
@@ -1,12 +1,12 @@
 """Links between daemons over ZeroMQ, authenticated by CURVE.
 
-Each daemon binds one ROUTER and opens one DEALER for each link of its own.
-Answers go back over the link on which a message came. With keys, both ends prove
-that they hold a trusted key and every message is encrypted; a stranger's
-connection ends in the handshake and reaches none of our code.
+Each daemon binds one ROUTER and opens one DEALER for each outgoing link. Answers go
+back over the link on which a message arrived. With keys, both ends prove that they hold
+a trusted key and every message is encrypted; a connection from an unknown peer ends in
+the handshake and reaches none of our code.
 
-Sends never wait: a full queue drops the message and counts it. The state is told
-again by heartbeats, so a drop costs time and nothing else.
+Sends never block: when a queue is full the message is dropped and counted. Heartbeats
+repeat the state, so a dropped message only delays an update.
 """
 
 import secrets
@@ -25,8 +25,8 @@
 
 _ZAP_DOMAIN = "peers"
 _MAX_MESSAGE_BYTES = 64 * 1024 * 1024
-"""A whole configuration at the size to design for is 3 MB before compression;
-more than twenty times that is damage or an attack."""
+"""A whole configuration at the design size is 3 MB before compression; a message of more
+than twenty times that is corrupt or an attack."""
 _LOOPBACK_HOSTS = ("127.0.0.1", "::1")
 _IDENTITY_SEPARATOR = b"#"
 _MORE_NOBLOCK = int(zmq.SNDMORE) | NOBLOCK
@@ -43,8 +43,8 @@
     """CURVE keys in Z85.
 
     Attributes:
-        trusted: Public keys of other daemons beside our own; to change the key
-            of a deployment, trust the new one everywhere first.
+        trusted: Public keys accepted besides our own. To rotate the key of a
+            deployment, first add the new one here on every daemon.
     """
 
     public: str
@@ -91,7 +91,7 @@
         return f"tcp://{self._host}:{self._port}"
 
     def set_keys(self, keys: PeerKeys) -> None:
-        """Set the keys before ``start``, where they become known only then."""
+        """Set keys that were not known at construction; call before ``start``."""
         self._keys = keys
 
     async def start(self, on_message: OnMessage) -> None:
@@ -135,13 +135,13 @@
         self._context = None
 
     def connect(self, daemon: DaemonId, endpoint: str) -> None:
-        """Open a new link, in place of the one there may be."""
+        """Open a new link, replacing an existing one."""
         self.disconnect(daemon)
         if not endpoint:
             return
         dealer = self._make_socket(zmq.DEALER)
-        # A new identity for each link, so that the other end never mistakes it
-        # for the one that was lost.
+        # A new identity for each link, so that the other end does not confuse it with
+        # the lost one.
         nonce = secrets.token_hex(4).encode()
         dealer.setsockopt(
             zmq.IDENTITY, self._daemon.encode() + _IDENTITY_SEPARATOR + nonce
@@ -152,8 +152,8 @@
         try:
             dealer.connect(endpoint)
         except zmq.ZMQError as error:
-            # Its row may be another writer's. Raised, the error would end the task
-            # that follows all members, over one that cannot be reached anyway.
+            # The member's row may have been overwritten. If raised, the error would
+            # end the task that links with all members.
             _log.warning(
                 "peers: endpoint cannot be used", peer=daemon, reason=str(error)
             )
@@ -169,7 +169,7 @@
             dealer.close()
 
     def send(self, daemon: DaemonId, data: bytes) -> bool:
-        """Send without waiting; False when there is no link or no room."""
+        """Send without blocking; False when there is no link or its queue is full."""
         dealer = self._dealers.get(daemon)
         if dealer is not None:
             return self._send(dealer, [data])
@@ -209,8 +209,8 @@
     def _server_key(self, daemon: DaemonId) -> str:
         """Return the key expected of the other end: each trusted one in turn.
 
-        A daemon whose key is being changed answers to one of them; a link that
-        stays silent is opened again, with the next.
+        During a key rotation the other end holds one of them. A link that times out is
+        opened again with the next.
         """
         if self._keys is None:
             raise PeerError("There are no keys.")
@@ -251,7 +251,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Link:
-    """A socket and what reads it."""
+    """A socket and its reader."""
 
     socket: zmq.Socket[bytes]
     reader: SocketReader
@@ -263,7 +263,7 @@
 
 
 class _TrustedKeys:
-    """Answers pyzmq's authenticator whether a client's key is trusted."""
+    """Checks for pyzmq's authenticator whether a client's key is trusted."""
 
     def __init__(self, trusted: frozenset[str]) -> None:
         self._trusted = trusted
@@ -274,7 +274,7 @@
         is_trusted = key.decode() in self._trusted
         if not is_trusted:
             self.n_refused += 1
-            _log.warning("peers: refused a stranger")
+            _log.warning("peers: refused an unknown peer")
         return is_trusted
 
 
@@ -285,13 +285,13 @@
     keys: PeerKeys | None = None,
     queue_messages: int = 1000,
 ) -> SocketTransport:
-    """Return links over TCP.
+    """Return a transport over TCP.
 
     Args:
         daemon: This daemon.
         host: IP number to listen on.
         port: Port to listen on; 0 takes a free one.
         keys: CURVE keys; without them only loopback is allowed.
-        queue_messages: Most messages waiting on one link.
+        queue_messages: Maximum number of messages queued on one link.
     """
     return SocketTransport(daemon, host, port, keys, queue_messages)
--- a/lycheepost/peers/transport.py
+++ b/lycheepost/peers/transport.py
@@ -1,7 +1,7 @@
-"""What the exchange needs of the links between daemons.
+"""Interface of the links between daemons.
 
 ``peers.sockets`` carries messages over ZeroMQ, ``standin.network`` in memory.
-Messages may be lost or dropped at any time: whatever matters is told again.
+Messages may be lost or dropped at any time, so essential state is sent repeatedly.
 """
 
 from collections.abc import Callable
@@ -33,7 +33,7 @@
         ...
 
     def connect(self, daemon: DaemonId, endpoint: str) -> None:
-        """Open a new link, in place of the one there may be."""
+        """Open a new link, replacing an existing one."""
         ...
 
     def disconnect(self, daemon: DaemonId) -> None:
@@ -41,5 +41,5 @@
         ...
 
     def send(self, daemon: DaemonId, data: bytes) -> bool:
-        """Send without waiting; False when there is no link or no room."""
+        """Send without blocking; False when there is no link or its queue is full."""
         ...
--- a/lycheepost/peers/wire.py
+++ b/lycheepost/peers/wire.py
@@ -1,7 +1,7 @@
-"""Encode and decode peer messages; tolerate what other releases send.
+"""Encode and decode peer messages; tolerate messages of other releases.
 
 A message of an unknown kind is counted and dropped; unknown fields are counted
-and ignored; a damaged message is counted and dropped. None of them ends a link.
+and ignored; a corrupt message is counted and dropped. None of them closes a link.
 """
 
 from collections import Counter
@@ -64,14 +64,14 @@
 
 
 _MAX_UNKNOWN_NAMES = 64
-"""Names kept apart; a later release adds a few, a faulty one must not fill the
-memory and the log with made-up ones."""
+"""Maximum number of unknown names counted separately. A later release adds a few; a
+faulty one must not fill the memory and the log with arbitrary names."""
 _OTHER = "(other)"
 
 
 @dataclass(slots=True)
 class WireCounts:
-    """What could not be understood, for ``/admin/status``."""
+    """Counts of what could not be decoded, for ``/admin/status``."""
 
     unknown_kinds: Counter[str] = field(default_factory=Counter)
     unknown_fields: Counter[str] = field(default_factory=Counter)
@@ -80,17 +80,17 @@
 
 
 def kind_of(message: Any) -> str:
-    """Return the kind under which a message travels."""
+    """Return the kind that names the type of a message in its envelope."""
     return _KINDS[type(message)]
 
 
 def encode_body(message: Any) -> bytes:
-    """Return the message alone, without its envelope."""
+    """Return the encoded message without its envelope."""
     return msgspec.msgpack.encode(message)
 
 
 def encode_message(message: Any) -> bytes:
-    """Return a message in its envelope."""
+    """Return the encoded message in its envelope."""
     envelope = PeerEnvelope(
         version=VERSION,
         kind=kind_of(message),
@@ -100,7 +100,7 @@
 
 
 def decode_message(data: bytes, counts: WireCounts) -> Any | None:
-    """Return the message of an envelope, or None when it is not understood."""
+    """Return the message of an envelope, or None when it cannot be decoded."""
     try:
         envelope = msgspec.msgpack.decode(data, type=PeerEnvelope)
     except msgspec.MsgspecError:
@@ -111,7 +111,7 @@
 
 
 def decode_body(kind: str, body: bytes, counts: WireCounts) -> Any | None:
-    """Return the message of this kind, or None when it is not understood."""
+    """Return the message of this kind, or None when it cannot be decoded."""
     message_type = MESSAGE_TYPES.get(kind)
     if message_type is None:
         if kind not in counts.unknown_kinds:
