--- a/lycheepost/peers/feedshare.py
+++ b/lycheepost/peers/feedshare.py
@@ -32,8 +32,8 @@
 
 PEER_HOLD_SECONDS = 0.6
 """How long a peer holds a request without a change. Keys are accepted on confirmations
-of up to 3.8 s. A state passed on by a peer is up to 2.4 s old, and 3.0 s when its answer
-arrives."""
+of up to 3.8 s. A state passed on by a peer is up to 2.4 s old, and 3.0 s when its
+answer arrives."""
 
 MAX_PEERS_ASKED = 2
 """Peers to ask in sequence before asking the store."""
@@ -47,11 +47,11 @@
 
 FAILED_PEER_PAUSE_SECONDS = 5.0
 """How long a peer that did not answer is not asked; the next one is, or the store.
-A dead peer is removed from the members within that time."""
+The death of a peer is detected within that time."""
 
 REFUSED_PEER_PAUSE_SECONDS = 2.0
-"""How long a peer that refused is not asked. It answers, but has no recent answer of the
-store: it has just started, or will have reached the store again by then."""
+"""How long a peer that refused is not asked. It has no recent answer of the store
+itself: it has just started, or will have reached the store again by then."""
 
 STORE_INTERVAL_SECONDS = 0.25
 """Minimum time between two requests to the store for one table. While weights are
@@ -82,7 +82,8 @@
 """Time between two checks for held requests that are due."""
 
 ASKED_BY_PEERS_SECONDS = 5.0
-"""How long after its last request from a peer a daemon counts as one that others ask."""
+"""Time since its last request from a peer during which a daemon counts as asked by
+others."""
 
 NO_VERSION = -1
 
@@ -282,7 +283,7 @@
                 pass
             case FeedAnswer():
                 self._record_peer_failure(
-                    source, table, "not known there", REFUSED_PEER_PAUSE_SECONDS
+                    source, table, "refused", REFUSED_PEER_PAUSE_SECONDS
                 )
                 return None
             case PeerFailure.NO_LINK:
--- a/lycheepost/peers/neighbours.py
+++ b/lycheepost/peers/neighbours.py
@@ -26,7 +26,7 @@
 and not learn when the others return."""
 
 MIN_ZONE_RING_DAEMONS = 8
-"""Fewest other daemons in a zone for which it has rings of its own. With fewer, two that
+"""Minimum number of other daemons in a zone for rings of its own. With fewer, two that
 fail at once are often adjacent in both of its rings."""
 
 
--- a/lycheepost/peers/socketreader.py
+++ b/lycheepost/peers/socketreader.py
@@ -76,4 +76,4 @@
         except Exception:
             # If raised, the messages behind this one would stay unread until the next
             # event.
-            _log.exception("peers: a message could not be taken")
+            _log.exception("peers: a message could not be handled")
--- a/lycheepost/peers/sockets.py
+++ b/lycheepost/peers/sockets.py
@@ -25,8 +25,8 @@
 
 _ZAP_DOMAIN = "peers"
 _MAX_MESSAGE_BYTES = 64 * 1024 * 1024
-"""A whole configuration at the design size is 3 MB before compression; a message of more
-than twenty times that is corrupt or an attack."""
+"""A whole configuration at the design size is 3 MB before compression; a message more
+than twenty times as large is corrupt or an attack."""
 _LOOPBACK_HOSTS = ("127.0.0.1", "::1")
 _IDENTITY_SEPARATOR = b"#"
 _MORE_NOBLOCK = int(zmq.SNDMORE) | NOBLOCK
--- a/lycheepost/ports/__init__.py
+++ b/lycheepost/ports/__init__.py
@@ -1,1 +1,1 @@
-"""One typed port for each service outside, and the clients of our own ones."""
+"""Typed interfaces (ports) to the platform's services, and their HTTP clients."""
--- a/lycheepost/ports/feed.py
+++ b/lycheepost/ports/feed.py
@@ -1,7 +1,7 @@
-"""The port of a table service that tells what has changed.
+"""Interface to a table service that reports changes.
 
-Beside conditional writes (``ports.table``) such a service answers a question for
-the changes after a version, and holds the question open until there are some.
+Beside conditional writes (``ports.table``), such a service returns the changes after a
+version and holds the request open until there are some (long polling).
 """
 
 from dataclasses import dataclass
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Rows of one table.
+    """Changes of one table, or all of its rows.
 
     Attributes:
-        rows: Those that changed, in order; all of them for a whole read.
+        rows: The changed rows, in order; all rows for a whole read.
         version: The service's newest version when it answered.
-        is_whole: These are all rows; a row that is not among them is gone.
-        confirmed_seconds: When the table was as told here, by the clock of whoever
-            asked; None for the moment at which the question was sent.
+        is_whole: Whether these are all rows; a row that is missing was removed.
+        confirmed_seconds: Time at which the table was in this state, by the clock of
+            the requesting daemon; None stands for the time the request was sent.
     """
 
     rows: tuple[ChangedRow, ...]
@@ -40,11 +40,11 @@
 
 @dataclass(frozen=True)
 class HistoryGone(TableError):
-    """The changes asked for are no longer kept; only a whole read helps."""
+    """The requested changes are no longer stored; the whole table must be read."""
 
 
 class FeedPort(Protocol):
-    """What lycheepost needs to follow a table."""
+    """Operations required to follow a table."""
 
     async def read_table(self, table: str) -> Result[Changes, TableError]:
         """Return every row of ``table``."""
@@ -53,9 +53,9 @@
     async def wait_changes(
         self, table: str, after: int, wait_seconds: float
     ) -> Result[Changes, TableError]:
-        """Return the changes after a version, as soon as there are some.
+        """Return the changes after a version as soon as there are some.
 
         Returns:
-            No rows when ``wait_seconds`` passed without a change.
+            No rows if ``wait_seconds`` passed without a change.
         """
         ...
--- a/lycheepost/ports/http_calls.py
+++ b/lycheepost/ports/http_calls.py
@@ -1,8 +1,8 @@
 """HTTP calls to a platform service, with one deadline and typed outcomes.
 
-The difference that matters is whether a call may have reached the service: a
-connection that was never made proves that nothing was written, while a
-connection that broke, or an answer that came too late, proves nothing.
+The outcomes distinguish whether a call may have reached the service. If no connection
+was made, nothing was written. If the connection broke or the answer came too late, the
+call may or may not have taken effect.
 """
 
 from dataclasses import dataclass
@@ -11,14 +11,14 @@
 from returns.result import Failure, Result, Success
 
 _IDLE_CONNECTION_SECONDS = 15.0
-"""A pooled connection idle for longer may have been forgotten on the way."""
+"""A device on the path may have dropped a pooled connection that is idle for longer."""
 _MAX_CONNECTIONS = 32
-"""Bounds the sockets that a slow service can tie up in one daemon."""
+"""Limits the sockets that a slow service can occupy in one daemon."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     body: bytes
@@ -46,8 +46,8 @@
 
     Args:
         url: Base address without a trailing slash.
-        timeout_seconds: Longest time one call may take in all.
-        session: Session to use; when None the caller makes and owns one.
+        timeout_seconds: Maximum total time of one call.
+        session: Session to use; if None, one is created and owned by this object.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
     async def call(
         self, method: str, path: str, body: bytes | None = None
     ) -> Result[HttpAnswer, HttpFault]:
-        """Make one call and return its whole answer."""
+        """Make one call and return its complete answer."""
         try:
             async with self._open_session().request(
                 method, self._url + path, data=body, timeout=self._timeout
@@ -76,7 +76,7 @@
             return Failure(AnswerLost(f"The call failed: {type(error).__name__}."))
 
     async def close(self) -> None:
-        """Close the session if this caller made it."""
+        """Close the session if this object created it."""
         if self._session is not None and self._owns_session:
             await self._session.close()
 
--- a/lycheepost/ports/http_objects.py
+++ b/lycheepost/ports/http_objects.py
@@ -1,4 +1,4 @@
-"""The object port over HTTP."""
+"""HTTP client of the object store."""
 
 from urllib.parse import quote
 
@@ -27,7 +27,7 @@
         return (await self._call("PUT", _path(name), data)).map(lambda _: None)
 
     async def list_names(self, prefix: str) -> Result[tuple[str, ...], ObjectError]:
-        """Return the names that start with ``prefix``; the list may lag."""
+        """Return the names that start with ``prefix``; the list may be stale."""
         outcome = await self._read(f"/names?prefix={quote(prefix, safe='')}")
         return outcome.bind(_decode_names)
 
@@ -36,7 +36,7 @@
         return (await self._call("DELETE", _path(name))).map(lambda _: None)
 
     async def close(self) -> None:
-        """Close the session if this client made it."""
+        """Close the session if this client created it."""
         await self._caller.close()
 
     async def _read(self, path: str) -> Result[bytes, ObjectError]:
@@ -76,4 +76,4 @@
     try:
         return Success(msgspec.json.decode(data, type=tuple[str, ...]))
     except msgspec.DecodeError:
-        return Failure(ObjectError("The listing could not be read."))
+        return Failure(ObjectError("The listing could not be decoded."))
--- a/lycheepost/ports/http_table.py
+++ b/lycheepost/ports/http_table.py
@@ -1,4 +1,4 @@
-"""The table port over HTTP."""
+"""HTTP client of the table service."""
 
 from typing import Any, TypeVar
 
@@ -46,11 +46,11 @@
         return await self._read("/scan", body, Page)
 
     async def commit(self, transaction: Transaction) -> Result[Committed, TableError]:
-        """Apply a transaction whole, or not at all."""
+        """Apply a transaction atomically."""
         return await self._call("/commit", transaction, Committed, True)
 
     async def close(self) -> None:
-        """Close the session if this client made it."""
+        """Close the session if this client created it."""
         await self._caller.close()
 
     async def _read(
@@ -93,19 +93,19 @@
     try:
         return Success(msgspec.json.decode(data, type=answer_type))
     except (msgspec.DecodeError, ValueError, RecursionError):
-        return Failure(_lost_answer_error("The answer could not be read.", is_write))
+        return Failure(_lost_answer_error("The answer could not be decoded.", is_write))
 
 
 def _check_rows(
     answer: ReadAnswer, n_keys: int
 ) -> Result[tuple[Row | None, ...], TableError]:
-    """Refuse an answer with another number of rows than keys were asked.
+    """Reject an answer whose number of rows differs from the number of keys.
 
-    Rows are told apart by their place; one that is missing would shift the
-    others to keys that they do not belong to.
+    Rows are assigned to keys by position; if one were missing, the rows after it would
+    be assigned to the wrong keys.
     """
     if len(answer.rows) != n_keys:
-        return Failure(TableUnavailable("The answer has another number of rows."))
+        return Failure(TableUnavailable("The answer has the wrong number of rows."))
     return Success(answer.rows)
 
 
--- a/lycheepost/ports/http_vms.py
+++ b/lycheepost/ports/http_vms.py
@@ -1,4 +1,4 @@
-"""The VM list port over HTTP."""
+"""HTTP client of the VM list."""
 
 import aiohttp
 import msgspec
@@ -15,7 +15,7 @@
         self._caller = caller
 
     async def list_vms(self) -> Result[tuple[Vm, ...], VmListError]:
-        """Return the whole list as the platform last knew it."""
+        """Return the whole list as last known to the platform."""
         match await self._caller.call("GET", "/vms"):
             case Success(HttpAnswer(status=200, body=data)):
                 return _decode(data)
@@ -26,7 +26,7 @@
         raise AssertionError("unreachable")
 
     async def close(self) -> None:
-        """Close the session if this client made it."""
+        """Close the session if this client created it."""
         await self._caller.close()
 
 
@@ -41,4 +41,4 @@
     try:
         return Success(msgspec.json.decode(data, type=tuple[Vm, ...]))
     except msgspec.DecodeError:
-        return Failure(VmListError("The VM list could not be read."))
+        return Failure(VmListError("The VM list could not be decoded."))
--- a/lycheepost/ports/http_weights.py
+++ b/lycheepost/ports/http_weights.py
@@ -1,4 +1,4 @@
-"""The weight store port over HTTP."""
+"""HTTP client of the weight store."""
 
 from urllib.parse import quote
 
@@ -32,7 +32,7 @@
         raise AssertionError("unreachable")
 
     async def close(self) -> None:
-        """Close the session if this client made it."""
+        """Close the session if this client created it."""
         await self._caller.close()
 
 
@@ -47,4 +47,4 @@
     try:
         return Success(msgspec.json.decode(data, type=tuple[WeightsInfo, ...]))
     except msgspec.DecodeError:
-        return Failure(WeightsError("The versions could not be read."))
+        return Failure(WeightsError("The versions could not be decoded."))
--- a/lycheepost/ports/objects.py
+++ b/lycheepost/ports/objects.py
@@ -1,4 +1,4 @@
-"""The port of the platform's object store: whole objects by name."""
+"""Interface to the platform's object store: whole objects by name."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True)
 class ObjectError(LycheepostError):
-    """An object call that failed; a put may or may not have taken effect."""
+    """A call to the object store failed; a put may or may not have taken effect."""
 
 
 @dataclass(frozen=True)
 class ObjectMissing(ObjectError):
-    """No object has this name."""
+    """There is no object with this name."""
 
 
 class ObjectPort(Protocol):
-    """What lycheepost needs of an object store."""
+    """Operations required of an object store."""
 
     async def get(self, name: str) -> Result[bytes, ObjectError]:
         """Return one object."""
@@ -30,7 +30,7 @@
         ...
 
     async def list_names(self, prefix: str) -> Result[tuple[str, ...], ObjectError]:
-        """Return the names that start with ``prefix``; the list may lag."""
+        """Return the names that start with ``prefix``; the list may be stale."""
         ...
 
     async def delete(self, name: str) -> Result[None, ObjectError]:
--- a/lycheepost/ports/retries.py
+++ b/lycheepost/ports/retries.py
@@ -1,7 +1,7 @@
 """Retry reads of a platform service within a budget.
 
-Only calls without an effect are retried here. Whether a write may be sent again
-depends on its conditions, and ``state.settle`` decides that.
+Only calls without side effects are retried here. Whether a write may be sent again
+depends on its conditions; ``state.settle`` decides that.
 """
 
 import asyncio
@@ -18,23 +18,23 @@
 _MAX_ATTEMPTS = 3
 _FIRST_BACKOFF_SECONDS = 0.05
 _RETRIES_PER_CALL = 0.1
-"""Retries as a share of calls: a service that is down for all gets a tenth more
-calls, not three times as many, from a fleet that cannot know of each other."""
+"""Retries per call. A service that is down for all daemons receives a tenth more calls
+instead of three times as many; daemons do not coordinate their retries."""
 _MAX_AVAILABLE_RETRIES = 10.0
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Retries that may still be made; each first try earns a tenth of one."""
+    """Number of retries available; each first attempt adds a tenth of one."""
 
     available: float = _MAX_AVAILABLE_RETRIES
 
     def add_attempt(self) -> None:
-        """Count one first try."""
+        """Count one first attempt."""
         self.available = min(_MAX_AVAILABLE_RETRIES, self.available + _RETRIES_PER_CALL)
 
     def take_retry(self) -> bool:
-        """Take one retry; False when none is left."""
+        """Use one retry; return False when none is left."""
         if self.available < 1.0:
             return False
         self.available -= 1.0
@@ -46,11 +46,11 @@
     is_transient: Callable[[E], bool],
     budget: RetryBudget,
 ) -> Result[T, E]:
-    """Call ``read`` until it succeeds, the error is lasting, or the budget ends.
+    """Call ``read`` until it succeeds, fails permanently, or no retry is left.
 
     Args:
-        read: A call without an effect, with its own deadline.
-        is_transient: Whether another try may succeed.
+        read: A call without side effects, with its own deadline.
+        is_transient: Returns whether another attempt may succeed.
         budget: Shared by all reads of one service.
     """
     budget.add_attempt()
@@ -59,7 +59,7 @@
         outcome = await read()
         match outcome:
             case Failure(error) if is_transient(error) and budget.take_retry():
-                # Full jitter, so that daemons refused together come back apart.
+                # Full jitter, so that daemons refused together do not retry together.
                 await asyncio.sleep(random.uniform(0, backoff_seconds))
                 backoff_seconds *= 2
             case _:
--- a/lycheepost/ports/table.py
+++ b/lycheepost/ports/table.py
@@ -1,10 +1,9 @@
-"""The port of the platform's transactional table service.
+"""Interface to the platform's transactional table service.
 
-Everything above speaks to ``TablePort``; the HTTP client, and any later client
-of the users' own platform, are implementations of it. Each call returns a
-``Result``, so that a caller must look at the error and above all tell
-``OutcomeUnknown`` (the write may have taken effect) from the other errors (it
-has not).
+All other modules use ``TablePort``. The HTTP client is an implementation of it, and so
+is any later client of the users' own platform. Each call returns a ``Result``, which
+makes its caller handle errors, and above all distinguish ``OutcomeUnknown`` (the write
+may have taken effect) from the other errors (it has not).
 """
 
 from dataclasses import dataclass
@@ -20,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One row; ``version`` rises with every write to the key."""
+    """One row; ``version`` increases with every write to the key."""
 
     key: str
     value: bytes
@@ -29,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """The transaction takes effect only if ``key`` stands at this version."""
+    """The transaction takes effect only if ``key`` is at this version."""
 
     key: str
     version: int
@@ -45,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Conditions and writes that take effect together or not at all."""
+    """Conditions and writes that are applied atomically."""
 
     conditions: tuple[Condition, ...]
     writes: tuple[Write, ...]
@@ -72,17 +71,17 @@
 
 @dataclass(frozen=True)
 class TableError(LycheepostError):
-    """A table call that failed."""
+    """A call to the table service failed."""
 
 
 @dataclass(frozen=True)
 class TableUnavailable(TableError):
-    """The service did not take the call; nothing was written."""
+    """The service did not accept the call; nothing was written."""
 
 
 @dataclass(frozen=True)
 class TableThrottled(TableError):
-    """The service is over its rate; nothing was written."""
+    """The call was over the service's rate limit; nothing was written."""
 
 
 @dataclass(frozen=True)
@@ -102,12 +101,12 @@
 
 
 class TablePort(Protocol):
-    """What lycheepost needs of a table service."""
+    """Operations required of a table service."""
 
     async def read(
         self, keys: tuple[str, ...]
     ) -> Result[tuple[Row | None, ...], TableError]:
-        """Return the rows of ``keys`` in order, from one consistent state."""
+        """Return the rows of ``keys`` in order, from one consistent snapshot."""
         ...
 
     async def scan(
@@ -117,5 +116,5 @@
         ...
 
     async def commit(self, transaction: Transaction) -> Result[Committed, TableError]:
-        """Apply a transaction whole, or not at all."""
+        """Apply a transaction atomically."""
         ...
--- a/lycheepost/ports/table_wire.py
+++ b/lycheepost/ports/table_wire.py
@@ -1,4 +1,4 @@
-"""Bodies of the table service's HTTP interface, beside the port's own records."""
+"""Bodies of the table service's HTTP interface that are not in ``ports.table``."""
 
 from dataclasses import dataclass
 
--- a/lycheepost/ports/vms.py
+++ b/lycheepost/ports/vms.py
@@ -1,4 +1,4 @@
-"""The port of the platform's lagging list of live and leaving VMs."""
+"""Interface to the platform's list of live and leaving VMs, which may be stale."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -11,7 +11,7 @@
 
 
 class VmState(Enum):
-    """What the platform says of a VM; up to several seconds late."""
+    """State of a VM as the platform reports it, up to several seconds late."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True)
 class VmListError(LycheepostError):
-    """A VM list call that failed."""
+    """A call to the VM list failed."""
 
 
 class VmListPort(Protocol):
-    """What lycheepost needs of a VM list."""
+    """Operations required of a VM list."""
 
     async def list_vms(self) -> Result[tuple[Vm, ...], VmListError]:
-        """Return the whole list as the platform last knew it."""
+        """Return the whole list as last known to the platform."""
         ...
--- a/lycheepost/ports/weights.py
+++ b/lycheepost/ports/weights.py
@@ -1,7 +1,7 @@
-"""The port of the platform's rate-limited weight store.
+"""Interface to the platform's rate-limited weight store.
 
-Targets read weights themselves; lycheepost only asks which versions exist and
-how large they are, to plan loads.
+Targets read weights themselves. lycheepost only lists versions and their sizes, to
+plan loads.
 """
 
 from dataclasses import dataclass
@@ -21,16 +21,16 @@
     weights_version: WeightsVersion
     size_bytes: int
     load_seconds: float
-    """Time one target takes to load it while nobody else loads."""
+    """Time one target takes to load it while no other target loads."""
 
 
 @dataclass(frozen=True)
 class WeightsError(LycheepostError):
-    """A weight store call that failed."""
+    """A call to the weight store failed."""
 
 
 class WeightsPort(Protocol):
-    """What lycheepost needs of a weight store."""
+    """Operations required of a weight store."""
 
     async def list_versions(
         self, model: ModelId
--- a/lycheepost/utils/collector.py
+++ b/lycheepost/utils/collector.py
@@ -8,13 +8,13 @@
 
 
 def tune_collector() -> None:
-    """Let the collector look rarely, and never at what lives from the start.
+    """Run collections rarely, and exclude objects that exist at the start.
 
-    By default it walks every live object again and again as requests come and
-    go. With 2,000 open streams that took 5 to 10% of a core and stopped all
-    streams for tens of milliseconds at a time. Nearly everything here is freed
-    by reference counts alone; cycles, such as those of exceptions, are few and
-    wait a little longer.
+    With the default thresholds every live object is traversed again and again while
+    requests are served: with 2,000 open streams this takes 5 to 10% of a core and
+    stops all streams for tens of milliseconds at a time. Nearly all objects are freed
+    by reference counting; cycles, such as those of exceptions, are few and are freed
+    later.
     """
     gc.collect()
     gc.freeze()
--- a/lycheepost/utils/decoding.py
+++ b/lycheepost/utils/decoding.py
@@ -1,7 +1,7 @@
-"""What decoding bytes that somebody else wrote may raise."""
+"""Exceptions that decoding untrusted bytes may raise."""
 
 import msgspec
 
 UNREADABLE = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
-"""Bytes that are no JSON or MessagePack or hold other types, text that is no UTF-8,
-and lists nested so deep that the decoder gives up."""
+"""For bytes that are not JSON or MessagePack or hold other types, text that is not
+UTF-8, and lists nested too deeply for the decoder."""
--- a/lycheepost/utils/documents.py
+++ b/lycheepost/utils/documents.py
@@ -1,7 +1,7 @@
 """Check a document against a schema and convert it to generated records.
 
-All faults are found in one pass, each with its path, its value and the reason,
-so that an operator mends a settings file once instead of once per fault.
+All faults are reported in one pass, each with its path, value and reason, so that
+an operator can correct a settings file in one go.
 """
 
 import functools
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One thing wrong with a document.
+    """One error in a document.
 
     Attributes:
-        path: Where, in dots and indexes, such as ``limits.body_bytes``.
-        value: What stands there, shortened; never a secret.
+        path: Location with dots and indexes, such as ``limits.body_bytes``.
+        value: Value at that path, shortened; never a secret.
         reason: One sentence.
     """
 
@@ -55,7 +55,7 @@
     return jsonschema.Draft202012Validator(schema)
 
 
-def _show(path: list[Any], value: Any) -> str:
+def _format_value(path: list[Any], value: Any) -> str:
     if any(part in _SECRET_FIELDS for part in path):
         return "(secret)"
     if isinstance(value, dict):
@@ -66,7 +66,7 @@
     return text
 
 
-def _join(path: list[Any]) -> str:
+def _format_path(path: list[Any]) -> str:
     text = ""
     for part in path:
         text += f"[{part}]" if isinstance(part, int) else f".{part}"
@@ -87,7 +87,9 @@
         reason = error.message
         if any(part in _SECRET_FIELDS for part in path):
             reason = "is not valid"
-        faults.append(Fault(_join(path), _show(path, error.instance), reason))
+        faults.append(
+            Fault(_format_path(path), _format_value(path, error.instance), reason)
+        )
     return sorted(faults, key=lambda fault: fault.path)
 
 
--- a/lycheepost/utils/keys.py
+++ b/lycheepost/utils/keys.py
@@ -1,7 +1,7 @@
-"""Secret keys of callers and operators: made, hashed and compared.
+"""Create and hash the secret keys of callers and operators.
 
-Only the SHA-256 of a key is kept. The keys are 256 random bits, so a slow
-password hash would add cost to each request and protect nothing.
+Only the SHA-256 of a key is stored. A key has 256 random bits, so a slow password
+hash would add cost to each request and no protection.
 """
 
 import hashlib
@@ -13,7 +13,7 @@
 
 
 def make_key(prefix: str) -> str:
-    """Return a new random key; it is shown once and kept nowhere."""
+    """Return a new random key, which is shown once and never stored."""
     return prefix + secrets.token_urlsafe(_KEY_BYTES)
 
 
--- a/lycheepost/utils/logs.py
+++ b/lycheepost/utils/logs.py
@@ -1,12 +1,12 @@
-"""Structured logs, one line an event.
+"""Structured logs, one line per event.
 
-A daemon writes them to standard output, bounded (``utils.logwriter``); a command
-whose output a script reads writes them to standard error.
+A daemon writes them to standard output through the bounded ``utils.logwriter``; a
+command whose output is read by scripts writes them to standard error.
 
-Every part binds ``part`` and begins its events with the same word. The request
+Every component binds ``part`` and starts its events with the same word. The request
 id is bound in a context variable, so that each line of one request carries it.
-Prompt text and keys are never passed to a log call; as a second barrier, fields
-with the names below are dropped before a line is written.
+Prompt text and keys are never passed to a log call; as a second safeguard, the values
+of the fields below are replaced before a line is written.
 """
 
 import logging
@@ -33,7 +33,7 @@
 
 
 def _encode(event: object, **_options: object) -> str:
-    """Return an event as JSON; what has no JSON form is told by its text."""
+    """Return an event as JSON; values without a JSON form are converted by ``str``."""
     return msgspec.json.encode(event, enc_hook=str).decode()
 
 
@@ -44,7 +44,7 @@
 
     Args:
         settings: Level and format.
-        daemon_id: Stands in every line when given.
+        daemon_id: Added to every line unless empty.
         output: Where lines go; standard error when None.
     """
     renderer: Any = structlog.processors.JSONRenderer(serializer=_encode)
@@ -64,8 +64,8 @@
         logger_factory=structlog.WriteLoggerFactory(file=output or sys.stderr),
         cache_logger_on_first_use=False,
     )
-    # aiohttp reports faults of handlers through the standard library; it must
-    # not print a request line, which can hold a key in its query.
+    # aiohttp logs handler errors through the standard library. It must not print
+    # request lines, as their query can hold a key.
     logging.basicConfig(level=max(level, logging.WARNING), stream=sys.stderr)
     structlog.contextvars.clear_contextvars()
     if daemon_id:
--- a/lycheepost/utils/logwriter.py
+++ b/lycheepost/utils/logwriter.py
@@ -1,10 +1,9 @@
-"""Write log lines without ever waiting for whoever reads them.
+"""Write log lines without blocking on their reader.
 
-The failure: standard output is a pipe, its reader stops reading, and the next line
-blocks the whole daemon. It shows as requests that stop everywhere while nothing is
-wrong with them. So the pipe is written without blocking. What does not fit is kept
-up to a bound; then, and above a rate that no reader needs, lines are dropped and
-their number is told in a line of its own.
+If standard output is a pipe whose reader stops reading, a blocking write of the next
+line would stop the whole daemon with all its requests. So writes do not block. Lines
+that the pipe does not take are buffered up to a limit; beyond it, or above a maximum
+rate, lines are dropped, and a line of its own reports their number.
 """
 
 import os
@@ -12,14 +11,14 @@
 from collections.abc import Callable
 
 LINES_PER_SECOND = 400.0
-"""A daemon logs about three lines a request; at 60 requests a second half of this
-is used, and a line costs some 30 microseconds."""
+"""A daemon logs about three lines per request, so that 60 requests a second use half of
+this rate; a line takes some 30 microseconds."""
 
 BURST_LINES = 1500.0
-"""A restart or a storm of changes may log this much at once."""
+"""Lines that a restart or many simultaneous changes may log at once."""
 
 MAX_BUFFERED_BYTES = 256 * 1024
-"""Lines kept while the reader is behind: about a thousand."""
+"""Size of the buffer for lines that are not yet written: about a thousand lines."""
 
 
 class LogWriter:
@@ -27,7 +26,7 @@
 
     Args:
         file_number: An open file; it is set to non-blocking.
-        now_seconds: A steady clock.
+        now_seconds: A monotonic clock.
 
     Attributes:
         n_dropped: Lines dropped so far.
@@ -46,9 +45,9 @@
         self._refilled_seconds = now_seconds()
 
     def write(self, text: str) -> int:
-        """Take one line; it is written, kept for later, or dropped."""
+        """Buffer one line for ``flush``, or drop it."""
         if len(self._buffer) > MAX_BUFFERED_BYTES:
-            # The reader may have caught up since the last line.
+            # The reader may have made space since the last line.
             self.flush()
         if not self._take_token() or len(self._buffer) > MAX_BUFFERED_BYTES:
             self.n_dropped += 1
@@ -60,14 +59,14 @@
         return len(text)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much as possible without blocking."""
         while self._buffer:
             try:
                 n_written = os.write(self._file_number, self._buffer)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more, and there is no other place to say so.
+                # The reader is gone, and there is no other place to report it.
                 self._buffer.clear()
                 return
             del self._buffer[:n_written]
--- a/lycheepost/utils/metrics.py
+++ b/lycheepost/utils/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics by statsd over UDP, or served as text; names are in docs/METRICS.md.
+"""Metrics over statsd (UDP) or served as text; docs/METRICS.md lists the names.
 
 A metric must never delay or fail a request: a datagram that cannot be sent is
-dropped, and with no host set nothing is sent at all.
+dropped, and without a configured host nothing is sent.
 """
 
 import bisect
@@ -16,7 +16,7 @@
 
 
 class Metrics(Protocol):
-    """What parts of the program may report."""
+    """Interface to report metrics."""
 
     def count(self, name: str, by: int = 1) -> None:
         """Add to a counter."""
@@ -32,7 +32,7 @@
 
 
 class NoMetrics:
-    """Metrics that go nowhere."""
+    """Discards all metrics."""
 
     def count(self, name: str, by: int = 1) -> None:
         """Drop a counter."""
@@ -48,7 +48,7 @@
     """Metrics sent to a statsd server.
 
     Args:
-        client: Swallows send errors by itself.
+        client: Ignores send errors.
     """
 
     def __init__(self, client: statsd.StatsClient) -> None:
@@ -68,29 +68,29 @@
 
 
 BUCKET_SECONDS = tuple(0.002 * 2**step for step in range(15))
-"""Doubling from 2 ms to 33 s: a round trip to a target, and twice the longest
-time that a caller waits."""
+"""Upper bounds of buckets, doubling from 2 ms, a round trip to a target, to 33 s, twice
+the longest time that a caller waits."""
 
 
 @dataclass(slots=True)
 class _Timings:
-    """Durations of one name, by bucket; the last bucket has no upper end."""
+    """Durations of one metric by bucket; the last bucket has no upper bound."""
 
     buckets: list[int] = field(default_factory=lambda: [0] * (len(BUCKET_SECONDS) + 1))
     total_seconds: float = 0.0
 
     def cumulative_counts(self) -> list[tuple[str, float]]:
-        """Return for each upper end how many durations were not longer."""
-        ends = [*map(str, BUCKET_SECONDS), "+Inf"]
+        """Return for each upper bound the number of durations up to it."""
+        bounds = [*map(str, BUCKET_SECONDS), "+Inf"]
         sums = itertools.accumulate(self.buckets)
-        return list(zip(ends, sums, strict=True))
+        return list(zip(bounds, sums, strict=True))
 
 
 class ServedMetrics:
-    """Metrics kept here until somebody fetches them as text.
+    """Metrics held in memory and served as text on request.
 
-    They are plain numbers; the library that writes the text is loaded by the first
-    fetch, as it takes a tenth of a second of a daemon's start.
+    They are plain numbers. The library that formats them is imported by the first
+    request, as the import would add a tenth of a second to a daemon's start.
     """
 
     def __init__(self) -> None:
@@ -113,7 +113,7 @@
         timings.total_seconds += seconds
 
     def text(self) -> bytes:
-        """Return everything in the text format that collectors fetch."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
@@ -121,7 +121,7 @@
         return bytes(generate_latest(registry))
 
     def collect(self) -> Iterator[Any]:
-        """Yield the families of metrics, as the library asks for them."""
+        """Yield the metric families; called by the Prometheus registry."""
         from prometheus_client.core import (
             CounterMetricFamily,
             GaugeMetricFamily,
@@ -147,7 +147,7 @@
 
 
 def make_metrics(settings: MetricSettings) -> Metrics:
-    """Return the metrics that the settings ask for."""
+    """Return the metrics client for the settings."""
     if not settings.statsd_host:
         return NoMetrics()
     client = statsd.StatsClient(
--- a/lycheepost/utils/tasks.py
+++ b/lycheepost/utils/tasks.py
@@ -1,9 +1,8 @@
-"""Tasks that run as long as the part that owns them.
+"""Tasks that run as long as the component that owns them.
 
-The failure: such a task ends by a fault. Its owner still holds it, so nobody asks how
-it ended, and the daemon goes on without it: no peers are found, no loads told, no
-weights changed. It shows only as something that stopped. So the end is logged as an
-error, at once and with its cause.
+When such a task ends by an exception, asyncio does not report it while the owner still
+holds the task. The daemon would continue without it and, for example, find no peers,
+report no loads or change no weights. So the exception is logged immediately.
 """
 
 import asyncio
@@ -16,11 +15,11 @@
 
 
 def start_task(work: Coroutine[Any, Any, None], name: str) -> asyncio.Task[None]:
-    """Return a running task whose fault is logged.
+    """Start a task and log the exception if it fails.
 
     Args:
-        work: Runs until it is cancelled, or until it is done.
-        name: Tells in the log which task it was.
+        work: Runs until it is cancelled or done.
+        name: Identifies the task in the log.
     """
     task = asyncio.create_task(work, name=name)
     task.add_done_callback(_log_failure)
@@ -30,4 +29,4 @@
 def _log_failure(task: asyncio.Task[None]) -> None:
     error = None if task.cancelled() else task.exception()
     if error is not None:
-        _log.error("tasks: ended by a fault", task=task.get_name(), exc_info=error)
+        _log.error("tasks: ended by an exception", task=task.get_name(), exc_info=error)
--- a/lycheepost/utils/tls.py
+++ b/lycheepost/utils/tls.py
@@ -1,14 +1,14 @@
 """TLS contexts whose certificate is replaced while the listener runs.
 
-A certificate is renewed by writing new files. A task looks at their content and,
-when it has changed and certificate and key go together, uses the new pair for
-every later handshake; connections that are open keep theirs. A broken or half
-written pair is logged and the old one kept.
-
-The listener's own context is never loaded a second time: loading sets the
-certificate before the key, so a pair that does not match would leave a context
-that fails every handshake. Each pair gets a context of its own, and the
-listener's hands each new connection over to the newest one.
+A certificate is renewed by writing new files. A task checks their content
+periodically. When it has changed and the certificate matches the key, later handshakes
+use the new pair; open connections keep theirs. An invalid or partially written pair is
+logged and the old one stays in use.
+
+The listener's own context is never reloaded: loading sets the certificate before the
+key, so a pair that does not match would leave a context that fails every handshake.
+Each pair gets a context of its own, and an SNI callback on the listener's context
+switches each new connection to the newest one.
 """
 
 import asyncio
@@ -35,10 +35,10 @@
     """The TLS context of one listener; made by ``make_tls_manager``.
 
     Args:
-        name: Stands in logs.
-        settings: Where the files are and how often they are looked at.
-        first: The context of the pair that was there at the start.
-        digest: Of that pair.
+        name: Name of the listener in logs.
+        settings: Paths of the files and the interval between checks.
+        first: Context of the pair loaded at the start.
+        digest: Digest of that pair.
     """
 
     def __init__(
@@ -59,20 +59,20 @@
         connection.context = self._newest
 
     async def start(self) -> None:
-        """Begin to look at the files."""
+        """Start to check the files periodically."""
         self._task = asyncio.create_task(self._run(), name=f"tls-{self._name}")
 
     async def drain(self) -> None:
-        """Do nothing: connections in flight keep their context."""
+        """Do nothing: open connections keep their context."""
 
     async def stop(self) -> None:
-        """Stop looking."""
+        """Stop checking the files."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def reload(self) -> bool:
-        """Use the pair in the files if it is new and whole; return whether it was."""
+        """Use the pair in the files if it is new and valid; return whether it was."""
         digest = _digest_files(self._settings)
         if digest in ("", self._digest):
             return False
@@ -83,15 +83,15 @@
                 _log.info("tls: certificate replaced", name=self._name)
                 return True
             case Success():
-                # The files changed while they were read: look again next time.
+                # The files changed while they were read; the next check retries.
                 return False
             case Failure(error):
                 self._log_rejected(digest, error)
         return False
 
     def _log_rejected(self, digest: str, error: TlsError) -> None:
-        # Once for each content: half written files are the usual case, and a
-        # pair that stays broken must not fill the log.
+        # Once for each content, so that a pair that stays invalid does not fill the
+        # log. Partially written files are the usual case.
         if digest != self._rejected_digest:
             self._rejected_digest = digest
             _log.warning(
@@ -105,7 +105,7 @@
 
 
 def make_tls_manager(name: str, settings: TlsSettings) -> Result[TlsManager, TlsError]:
-    """Return the keeper of a listener's TLS context, or why there is none."""
+    """Return the manager of a listener's TLS context, or why there is none."""
     digest = _digest_files(settings)
     return _load(settings).map(
         lambda context: TlsManager(name, settings, context, digest)
@@ -117,7 +117,7 @@
     try:
         context.load_cert_chain(settings.certificate_path, settings.key_path)
     except (OSError, ValueError) as error:
-        # ssl.SSLError is an OSError; its text names no secret.
+        # ssl.SSLError is an OSError; its text contains no secret.
         reason = getattr(error, "reason", None) or str(error)
         return Failure(TlsError(f"{settings.certificate_path}: {reason}"))
     return Success(context)
