--- a/features/peers/fleet.feature
+++ b/features/peers/fleet.feature
@@ -1,7 +1,7 @@
 Feature: Many daemons together
 
   Scenario Outline: A confirmed change with <latency> store latency is in force everywhere
-    An operator takes a leaked key out of force, and every daemon must refuse it.
+    Guards against a leaked key that daemons still accept after an operator revoked it.
 
     When 20 daemons take 50 changes with a store latency of <latency>
     Then every change was in force on all of them within <limit>
@@ -12,8 +12,8 @@
       | 0.2 seconds | 0.5 seconds |
 
   Scenario: A herd of restarts stays inside the store's reads
-    All VMs are replaced within a second, and every daemon starts with nothing.
-    If each read the whole configuration the table would throttle them all.
+    Guards against the table throttling all daemons when all VMs are replaced within a
+    second and each daemon reads the whole configuration at its start.
 
     When 100 daemons restart at the same moment, with and without peers
     Then with peers no second sees more than 700 reads, and all have the configuration
@@ -21,7 +21,7 @@
 
   Scenario: The store is down for an hour
     When the store is down for an hour under 6 daemons, with a restart and leaving targets
-    Then every look-up was answered, and nothing went back
+    Then every look-up was answered, and no revision went back
     And leaving targets were avoided within 5 seconds everywhere
     And the restarted daemon had the configuration within 5 seconds
     And after the hour a change is in force on all of them
@@ -32,24 +32,24 @@
     Then within 2 seconds no addresses answer names it
 
   Scenario: Two regions lose each other for an hour and find each other again
-    Each side takes the other for gone. Without a probe of those who seem gone
-    neither would ever look again, and changes would cross by the table alone.
+    Each side marks the other as gone. Without probes of members that are gone, neither
+    would link with the other again, and changes would cross through the table only.
 
     Given a fleet of 12 daemons with the store down
     When the links between two halves pass nothing for an hour
-    Then each half takes the other for gone
+    Then each half marks the other as gone
     And within 5 minutes after that all daemons know each other as live
 
   Scenario: A daemon that dies without a word is out of every addresses answer
     Given a fleet of 12 daemons with the store down
-    When a daemon dies without a word
+    When a daemon dies without announcing it
     Then within 20 seconds no addresses answer names it
 
   Scenario: One daemon sees that a target leaves, and all of them avoid it
-    With 12,000 targets no daemon can ask each of them for its health, nor look at
-    the whole VM list more than once in many minutes. New work must stop all the
-    same, whichever daemon gets it.
+    With 12,000 targets no daemon can poll the health of each, or read the whole VM list
+    more than once in many minutes. New requests to a leaving target must stop all the
+    same, whichever daemon receives them.
 
     Given a fleet of 12 daemons with the store down
-    When one daemon hears from a target that it leaves
+    When one daemon learns from a target that it leaves
     Then within 2 seconds every daemon avoids that target
--- a/features/peers/notice_messages.feature
+++ b/features/peers/notice_messages.feature
@@ -1,14 +1,15 @@
 Feature: What daemons tell each other of what targets say of themselves
 
   Scenario: A limit and its end come as they were told
-    Given a daemon that tells of a limit of 1.3 a second from 2 s ago and of one that ended
-    When a peer takes the message
-    Then it has both, as said 2 s ago on its own clock
+    Given a daemon that reports a limit of 1.3 a second from 2 s ago and of one that ended
+    When a peer receives the message
+    Then it has both, as reported 2 s ago on its own clock
 
   Scenario Outline: A limit with <figure> as its <field> is left out
-    Guards against a figure that would hold all requests back, or none, for good.
-    Given a daemon that tells of a limit with <figure> as its <field>
-    When a peer takes the message
+    Guards against an invalid figure that would hold back all requests, or none, for as
+    long as the daemon runs.
+    Given a daemon that reports a limit with <figure> as its <field>
+    When a peer receives the message
     Then it has none of them
 
     Examples:
@@ -20,7 +21,7 @@
       | nan    | age_seconds      |
 
   Scenario: Targets that leave come as they were told
-    Guards against a word on one start of a target that is taken for another start's.
-    Given a daemon that tells of a target that leaves and states its start, and of another
-    When a peer takes the message
+    Guards against a report on one start of a target that is applied to another start.
+    Given a daemon that reports a leaving target with its start, and another without
+    When a peer receives the message
     Then it knows both starts to be leaving
--- a/features/peers/sockets.feature
+++ b/features/peers/sockets.feature
@@ -1,15 +1,14 @@
 Feature: Messages between daemons over sockets
 
   Scenario Outline: A daemon with <keys> hears nothing and is not heard
-    Somebody on the network starts a daemon of their own to read customers' key
-    hashes or to slip in a configuration. Their connection must end in the
-    handshake.
+    Guards against an attacker on the network who runs a daemon to read the key hashes
+    of customers or to inject a configuration. The connection must end in the handshake.
 
     Given three daemons of one deployment that share keys
-    And a stranger with <keys> who knows where they are
+    And an unknown peer with <keys> that knows their endpoints
     When one of the three commits a change
     Then the other two have it within 5 seconds
-    And the stranger has heard nothing and nobody has heard it
+    And the unknown peer has received nothing, and the three nothing from it
 
     Examples:
       | keys                                       |
@@ -24,8 +23,8 @@
     Then the other has it within 10 seconds
 
   Scenario: A link that has gone silent is replaced while new ones work
-    A device between two daemons forgets an open connection: nothing arrives any
-    more and nobody is told. The daemons would miss changes until a restart.
+    Guards against daemons that miss changes until a restart because a device between
+    them drops an open connection without closing it.
 
     Given two daemons whose link passes through a relay
     When the relay forgets the open connections without closing them
@@ -33,7 +32,7 @@
     Then the other has it within 10 seconds
 
   Scenario Outline: A newer release sends <message>: it is counted, and the link lives
-    Releases run side by side for days while a fleet is updated.
+    Different releases run side by side for days while a fleet is updated.
 
     Given two daemons that are linked
     When one receives <message>
@@ -52,13 +51,13 @@
     Then the last one has it, and the middle one has counted it
 
   Scenario: A peer that takes nothing costs dropped messages, not time or memory
-    Given a daemon whose peer does not exist, with room for 50 messages
+    Given a daemon whose peer does not exist, with a queue of 50 messages
     When it sends 500 messages to that peer
     Then at least 400 of them were dropped at once
 
   Scenario: Messages that come in bursts both ways are all taken
-    Guards against a message that waits for the next one, as its notice was taken by a
-    send: news of a load or a quota would be late, or missing for good.
+    Guards against a message that stays unread until the next one arrives, because a
+    send consumed its event: updates of loads or quotas would be late or missing.
     Given two transports that are linked
     When each sends 5 bursts of 300 messages, and answers each tenth one that it gets
     Then each has all messages and answers within 5 s
@@ -74,8 +73,8 @@
     Then it refuses to start
 
   Scenario Outline: An endpoint that cannot be used costs only its daemon
-    The row of a daemon was written over by somebody else. The task that opens links
-    ended over it, and no daemon that came later was ever linked.
+    Guards against an invalid endpoint, from an overwritten row of a daemon, that ends
+    the task which opens links: daemons that start later would never be linked.
 
     Given two daemons that are linked
     When the row of another daemon names <endpoint> as its endpoint
@@ -89,6 +88,6 @@
       | tcp://1.2.3.4:x |
 
   Scenario: Every message that daemons send each other has a kind
-    One without a kind raises where it is sent, in the task that tells its news: that
-    task ends, and with it what else it does, as the renewals of a lease.
+    Guards against a message type without a kind, which raises an exception when sent.
+    It ends the sending task and all else that the task does, such as lease renewals.
     Then each message of the schema is a kind or part of one
--- a/features/peers/steps/endpoint_steps.py
+++ b/features/peers/steps/endpoint_steps.py
@@ -1,4 +1,4 @@
-"""Steps on rows that name an endpoint which no daemon can have."""
+"""Steps with member rows whose endpoint is invalid."""
 
 from behave import then, when
 
--- a/features/peers/steps/feedshare_steps.py
+++ b/features/peers/steps/feedshare_steps.py
@@ -31,7 +31,7 @@
 
 
 class LinkedExchange:
-    """The part of ``PeerExchange`` that is used, over the model of the links."""
+    """The methods of ``PeerExchange`` in use, over the model of the links."""
 
     def __init__(self, network, daemon):
         self.link = network.links.get(daemon)
@@ -51,7 +51,7 @@
 
 
 class StoreFeed:
-    """One daemon's way to the store; fails as it is told."""
+    """One daemon's feed of the store; fails as configured."""
 
     def __init__(self, store, rng=None):
         self.store, self.rng = store, rng
@@ -104,7 +104,7 @@
 
 
 class Cell:
-    """Daemons of one cell before one store."""
+    """Daemons of one cell that follow one store."""
 
     def __init__(self, loop, n, rng=None, on_confirmed=None, is_tree=False):
         self.loop = loop
@@ -138,7 +138,7 @@
         return follower
 
     def sources_of(self, name):
-        """Return whom a daemon asks: the source, or those above it in a tree."""
+        """Return the peers that a daemon asks: the source, or its ancestors in a tree."""
         if not self.is_tree:
             return () if self.source == name else (self.source,)
         index = self.names.index(name)
@@ -246,7 +246,7 @@
     loop.close()
 
 
-@then("they ask it at most {most:d} times meanwhile")
+@then("they ask it at most {most:d} times during the outage")
 def step_lost_calls(context, most):
     assert 0 < context.n_calls <= most, context.n_calls
 
@@ -270,7 +270,7 @@
     assert all(context.ended), [i for i, ok in enumerate(context.ended) if not ok]
 
 
-@then("nothing was taken for confirmed that was not")
+@then("no state was assumed confirmed that was not")
 def step_true(context):
     assert context.wrong == [], sorted(set(context.wrong))
 
@@ -323,7 +323,7 @@
             cell.network.isolate(cell.source)
         case "is cut off from the store":
             first.feed.is_cut = True
-        case "is slow to hear and answer":
+        case "is slow to receive and answer":
             cell.network.delay_seconds = 0.7
 
 
@@ -349,29 +349,29 @@
         context.mirror.take(Changes((row,), version), version - 1, 0.0)
 
 
-@when("an answer is taken that goes on after a later version")
+@when("an answer is applied that starts after a later version")
 def step_gap(context):
     version = context.mirror.version
     context.mirror.take(Changes((), version + 9), version + 8, 0.0)
 
 
-@when("it is asked for what came after version {after:d}")
+@when("it is asked for the changes after version {after:d}")
 def step_after(context, after):
     context.changes = context.mirror.changes_after(after)
     context.after = after
 
 
-@then("it tells all rows, and that they are all")
+@then("it returns all rows, marked as the whole table")
 def step_whole(context):
     assert context.changes.is_whole and len(context.changes.rows) == 7
 
 
-@then("it tells the changes since")
+@then("it returns the changes since then")
 def step_since(context):
     assert not context.changes.is_whole
     assert len(context.changes.rows) == context.mirror.version - context.after
 
 
-@then("it tells nothing yet")
+@then("it returns nothing")
 def step_nothing(context):
     assert context.changes is None
--- a/features/peers/steps/fleet_steps.py
+++ b/features/peers/steps/fleet_steps.py
@@ -55,7 +55,7 @@
     context.outage = measure_outage(SEED, n)
 
 
-@then("every look-up was answered, and nothing went back")
+@then("every look-up was answered, and no revision went back")
 def step_lookups(context):
     outage = context.outage
     assert outage.n_lookups > 3600 and outage.n_lookups_failed == 0, outage
@@ -118,7 +118,7 @@
     run(context, context.fleet.daemons[3].state.members.drain())
 
 
-@when("a daemon dies without a word")
+@when("a daemon dies without announcing it")
 def step_dies(context):
     daemon = context.fleet.daemons.pop(3)
     context.gone = daemon.name
@@ -145,7 +145,7 @@
     run(context, asyncio.sleep(3600))
 
 
-@then("each half takes the other for gone")
+@then("each half marks the other as gone")
 def step_gone(context):
     for daemon in context.fleet.daemons:
         is_left = daemon.name in context.left
@@ -163,7 +163,7 @@
         assert set(states.values()) == {MemberState.LIVE}, (daemon.name, states)
 
 
-@when("one daemon hears from a target that it leaves")
+@when("one daemon learns from a target that it leaves")
 def step_target_leaves(context):
     members = context.fleet.daemons[5].state.members
     sign = health_sign(TargetState.LEAVING)
--- a/features/peers/steps/flood_steps.py
+++ b/features/peers/steps/flood_steps.py
@@ -18,7 +18,7 @@
     return Member(name, "boot", MemberState.LIVE, zone, "", f"tcp://{name}")
 
 
-@given("{n:d} daemons, linked by their rings, with their mates and with whom they ask")
+@given("{n:d} daemons, linked by rings, with quota peers and with feed sources")
 def step_links(context, n):
     members = tuple(make_member(index) for index in range(n))
     context.links = {member.daemon: set() for member in members}
@@ -28,18 +28,18 @@
     for me in members:
         place = find_place(me, members, entry)
         names = {*place.mates, *place.sources}
-        mates = tuple(member for member in members if member.daemon in names)
+        peers = tuple(member for member in members if member.daemon in names)
         neighbours = choose_neighbours(me.daemon, members, PEER_LINKS)
         context.neighbours[me.daemon] = {item.daemon for item in neighbours}
         context.not_flooded[me.daemon] = _peers_without_floods(
-            members, neighbours, mates
+            members, neighbours, peers
         )
-        for other in (*neighbours, *mates):
+        for other in (*neighbours, *peers):
             context.links[me.daemon].add(other.daemon)
             context.links[other.daemon].add(me.daemon)
 
 
-@when("{n:d} of them are dead and not yet missed")
+@when("{n:d} of them are dead and not yet detected")
 def step_dead(context, n):
     names = sorted(context.links)
     step = max(1, len(names) // n) if n else len(names) + 1
@@ -64,7 +64,7 @@
     return copies
 
 
-@then("a flood of each reaches all that live")
+@then("a flood of each reaches all that are alive")
 def step_reaches(context):
     living = set(context.links) - context.dead
     context.copies = {origin: flood(context, origin) for origin in living}
--- a/features/peers/steps/notice_messages_steps.py
+++ b/features/peers/steps/notice_messages_steps.py
@@ -16,7 +16,7 @@
 
 
 @given(
-    "a daemon that tells of a limit of {per_second:g} a second from {age_seconds:g} s"
+    "a daemon that reports a limit of {per_second:g} a second from {age_seconds:g} s"
     " ago and of one that ended"
 )
 def step_tells(context, per_second, age_seconds):
@@ -29,18 +29,18 @@
     context.message = to_message(limits, (), SENDER_SECONDS)
 
 
-@given("a daemon that tells of a limit with {figure:g} as its {field}")
+@given("a daemon that reports a limit with {figure:g} as its {field}")
 def step_bad(context, figure, field):
     sound = TargetLimit(target=LIMITED, limit_per_second=1.0, age_seconds=0.0)
     context.message = NoticeNews(limits=[replace(sound, **{field: figure})])
 
 
-@when("a peer takes the message")
+@when("a peer receives the message")
 def step_takes(context):
     context.taken = limits_of(context.message, RECEIVER_SECONDS)
 
 
-@then("it has both, as said {age_seconds:g} s ago on its own clock")
+@then("it has both, as reported {age_seconds:g} s ago on its own clock")
 def step_both(context, age_seconds):
     said_seconds = RECEIVER_SECONDS - age_seconds
     assert context.taken == [
@@ -54,9 +54,7 @@
     assert not context.taken, context.taken
 
 
-@given(
-    "a daemon that tells of a target that leaves and states its start, and of another"
-)
+@given("a daemon that reports a leaving target with its start, and another without")
 def step_tells_leaving(context):
     context.starts = [TargetStart(LIMITED, 1_700_000_000_000), TargetStart(ENDED)]
     context.message = to_message({}, context.starts, SENDER_SECONDS)
--- a/features/peers/steps/relay.py
+++ b/features/peers/steps/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that can forget its open connections without closing them."""
+"""A TCP relay that can stop forwarding on open connections without closing them."""
 
 import asyncio
 
--- a/features/peers/steps/socket_steps.py
+++ b/features/peers/steps/socket_steps.py
@@ -40,8 +40,8 @@
     return context.loop.run_until_complete(work)
 
 
-def start_node(context, name, keys, tells_members=True):
-    """Start a daemon whose table is its own, so that only peers tell it things."""
+def start_node(context, name, keys, shares_members=True):
+    """Start a daemon with a table of its own, so that only peers send it changes."""
     clock = SystemClock()
     name = DaemonId(name)
     transport = make_socket_transport(name, keys=keys)
@@ -57,7 +57,7 @@
         lambda: revisions.revision,
         exchange_seconds=EXCHANGE_SECONDS,
     )
-    if tells_members:
+    if shares_members:
         MemberExchange(exchange, members, clock)
     RevisionExchange(exchange, revisions, clock)
     run(context, exchange.start())
@@ -100,17 +100,17 @@
     context.nodes = start_linked(context, "abc", context.keys)
 
 
-@given("a stranger with {keys} who knows where they are")
-def step_stranger(context, keys):
+@given("an unknown peer with {keys} that knows their endpoints")
+def step_unknown(context, keys):
     own = make_peer_keys() if keys.startswith("other keys") else None
     if "public" in keys:
         own = replace(own, trusted=(context.keys.public,))
-    context.stranger = start_node(context, "stranger", own)
+    context.unknown = start_node(context, "unknown", own)
     for node in context.nodes:
-        introduce(context.stranger, node)
-        introduce(node, context.stranger)
-    run(context, commit(context.stranger))
-    # Long enough for a second try with the next of the keys that it knows.
+        introduce(context.unknown, node)
+        introduce(node, context.unknown)
+    run(context, commit(context.unknown))
+    # Long enough for a second attempt with the next of its trusted keys.
     run(context, asyncio.sleep(15 * EXCHANGE_SECONDS))
 
 
@@ -131,12 +131,12 @@
     assert all("c" in node.revisions.view.customers for node in others)
 
 
-@then("the stranger has heard nothing and nobody has heard it")
-def step_unheard(context):
-    assert context.stranger.transport.bytes_in == 0
+@then("the unknown peer has received nothing, and the three nothing from it")
+def step_no_contact(context):
+    assert context.unknown.transport.bytes_in == 0
     for node in context.nodes:
-        assert "stranger" not in node.transport._accepted
-        assert node.revisions.status()["source"] != "peer stranger"
+        assert "unknown" not in node.transport._accepted
+        assert node.revisions.status()["source"] != "peer unknown"
 
 
 @given("a daemon with old keys that trusts the new ones")
@@ -165,7 +165,7 @@
     introduce(first, second, context.relay.endpoint)
     wait_until(context, lambda: context.relay.n_connections > 0, 5)
     run(context, asyncio.sleep(3 * EXCHANGE_SECONDS))
-    # The second knows the first by its greeting only, over the same relay.
+    # The second knows the first only from its hello, over the same relay.
     assert second.exchange.linked_daemons() == ("a",)
     second.members._members.pop(DaemonId("a"))
 
@@ -210,15 +210,15 @@
 def step_counted(context, counted):
     first, second = context.nodes
     assert second.exchange.status()[counted], second.exchange.status()
-    heard = second.transport.bytes_in
+    bytes_in = second.transport.bytes_in
     run(context, asyncio.sleep(5 * EXCHANGE_SECONDS))
-    assert second.transport.bytes_in > heard
+    assert second.transport.bytes_in > bytes_in
     assert first.name in second.exchange.linked_daemons()
 
 
 @given("three daemons in a row, the middle one of an older release")
 def step_row(context):
-    # Without news of members the two ends never link with each other.
+    # Without updates of members the two ends never link with each other.
     context.nodes = [start_node(context, name, None, False) for name in "abc"]
     first, middle, last = context.nodes
     introduce(first, middle)
@@ -253,7 +253,7 @@
     assert context.nodes[1].exchange.counts.unknown_kinds["unknown"] == 1
 
 
-@given("a daemon whose peer does not exist, with room for {n:d} messages")
+@given("a daemon whose peer does not exist, with a queue of {n:d} messages")
 def step_room(context, n):
     context.transport = make_socket_transport(DaemonId("a"), queue_messages=n)
     run(context, context.transport.start(lambda sender, data: None))
@@ -321,7 +321,7 @@
     context.fails_third = False
 
     def make_handler(name):
-        def take(sender, data):
+        def handle(sender, data):
             if context.fails_third and int(data) % 3 == 0:
                 raise ValueError("a message that can't be taken")
             context.got[name].append(data)
@@ -329,7 +329,7 @@
             if is_asked and int(data) % 10 == 0:
                 context.transports[name].send(sender, b"answer " + data)
 
-        return take
+        return handle
 
     async def link():
         for name in ("a", "b"):
--- a/features/ports/services.feature
+++ b/features/ports/services.feature
@@ -1,9 +1,8 @@
 Feature: The ports of the object store, the VM list and the weight store
 
   Scenario Outline: <implementation>: the object store with <fault>
-    A snapshot is written and read back before anybody relies on it.
-    A store that fails must never look like one that has no snapshot, or a daemon
-    would start from nothing.
+    Guards against a failing store that appears to have no snapshot: a daemon would
+    start without a configuration. A snapshot is written and read back before use.
 
     Given an object store reached by <implementation> that holds "o/1"
     When the object store has the fault <fault>
@@ -60,8 +59,8 @@
       | HTTP           | down  | WeightsError |
 
   Scenario: Loads beyond what the weight store feeds take longer
-    Three targets load at once where two load at full speed.
-    Whoever plans loads without the limit keeps capacity away for longer.
+    Three targets load at once where two load at full speed. A plan of loads that
+    ignores the limit makes capacity unavailable for longer.
 
     Given a weight store that feeds 2 loads at full speed
     When 3 targets load a version of 0.2 seconds at once
--- a/features/ports/steps/reach.py
+++ b/features/ports/steps/reach.py
@@ -1,4 +1,4 @@
-"""Put a stand-in's model behind HTTP and reach it with the real client."""
+"""Serve a stand-in's model over HTTP and connect the real client to it."""
 
 from aiohttp import web
 
--- a/features/ports/table.feature
+++ b/features/ports/table.feature
@@ -1,10 +1,9 @@
 Feature: The table port tells what became of every call
 
   Scenario Outline: <implementation>: a write meets <fault>
-    A daemon writes a claim and the service fails in one of its ways.
-    If the port called a lost answer a refusal, the daemon would report "not run"
-    for an order whose claim stands; if it called a refusal unknown, every outage
-    would leave orders in doubt.
+    A daemon writes a claim and the service fails. If the client reported a lost answer
+    as a refusal, the daemon would report "not run" for an order whose claim exists; if
+    it reported a refusal as unknown, every outage would leave orders undetermined.
 
     Given a table reached by <implementation>
     And the row "a" holds "old"
@@ -32,8 +31,8 @@
       | HTTP           | slow service     | OutcomeUnknown   | new   |
 
   Scenario Outline: <implementation>: a read meets <fault>
-    A daemon reads a row back after a write.
-    A stale read shows the row as it was, and every user of the port must cope.
+    A daemon reads a row back after a write. A stale read returns the row as it was
+    before, which every user of the port must handle.
 
     Given a table reached by <implementation>
     And the row "a" holds "old"
@@ -55,8 +54,8 @@
       | HTTP           | one refusal  | new              |
 
   Scenario: Reads of a service that is down are retried within a budget
-    The table is down and every daemon asks it. Three tries for each call would
-    triple the load on a service that is coming back.
+    Guards against three attempts for each call of every daemon, which would triple the
+    load on a service that is recovering.
 
     Given a table reached by HTTP
     When the table has the fault down
