--- a/features/peers/feedshare.feature
+++ b/features/peers/feedshare.feature
@@ -53,7 +53,7 @@
     The daemon that follows the store for its cell stops answering at the moment when a
     target leaves. No daemon may send requests to the target three seconds later.
     Given 8 daemons that follow a calm store
-    When the one who is asked <fault>
+    When the daemon that is asked <fault>
     And a row changes
     Then every other daemon knows the row within <seconds> s
 
--- a/features/peers/steps/feedshare_steps.py
+++ b/features/peers/steps/feedshare_steps.py
@@ -138,7 +138,7 @@
         return follower
 
     def sources_of(self, name):
-        """Return the peers that a daemon asks: the source, or its ancestors in a tree."""
+        """Return the peers to ask: the source, or its ancestors in the tree."""
         if not self.is_tree:
             return () if self.source == name else (self.source,)
         index = self.names.index(name)
@@ -311,7 +311,7 @@
     context.loop.run_until_complete(asyncio.sleep(seconds))
 
 
-@when("the one who is asked {fault}")
+@when("the daemon that is asked {fault}")
 def step_fault(context, fault):
     cell = context.cell
     first = cell.followers[0]
--- a/lycheepost/peers/feedshare.py
+++ b/lycheepost/peers/feedshare.py
@@ -39,7 +39,7 @@
 """Peers to ask in sequence before asking the store."""
 
 STORE_HOLD_SECONDS = 0.8
-"""How long the store holds a request without a change."""
+"""How long the store holds a request, without a change, of a daemon that answers peers."""
 
 ANSWER_MARGIN_SECONDS = 0.3
 """Time beyond the hold time after which a peer counts as failed. Between availability
@@ -65,9 +65,9 @@
 calls."""
 
 FALLBACK_STORE_INTERVAL_SECONDS = 0.8
-"""Minimum time between two requests to the store where peers are configured as sources
-but none answers. After the start of 200 daemons this lasts a second or two, during
-which the entries of all servers change."""
+"""Minimum time between two requests to the store where there are peers to ask but none
+answers. After the start of 200 daemons this lasts a second or two, during which the
+entries of all servers change."""
 
 LOST_STORE_INTERVAL_SECONDS = 3.0
 """Minimum time between two requests for a daemon that no peer asks, once the store has
