--- a/lycheepost/peers/feedshare.py
+++ b/lycheepost/peers/feedshare.py
@@ -39,7 +39,7 @@
 """Peers to ask in sequence before asking the store."""
 
 STORE_HOLD_SECONDS = 0.8
-"""How long the store holds a request, without a change, of a daemon that answers peers."""
+"""How long the store holds a request of a daemon that answers peers."""
 
 ANSWER_MARGIN_SECONDS = 0.3
 """Time beyond the hold time after which a peer counts as failed. Between availability
--- a/lycheepost/utils/tasks.py
+++ b/lycheepost/utils/tasks.py
@@ -29,4 +29,4 @@
 def _log_failure(task: asyncio.Task[None]) -> None:
     error = None if task.cancelled() else task.exception()
     if error is not None:
-        _log.error("tasks: ended by an exception", task=task.get_name(), exc_info=error)
+        _log.error("tasks: ended by a fault", task=task.get_name(), exc_info=error)
