--- a/lycheepost/peers/exchange.py
+++ b/lycheepost/peers/exchange.py
@@ -1,8 +1,8 @@
 """Messages between daemons: links, heartbeats, and floods to the whole fleet.
 
-A link that stays silent is replaced by a new one: something between the two ends
-may have lost track of it while new ones work. A daemon that stays silent on the
-new link too is suspected, and the fleet is told.
+A link that receives nothing within the timeout is replaced: a device between the two
+ends may have dropped the connection while new connections work. If the new link times
+out as well, the daemon is marked as suspect and the fleet is notified.
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 from lycheepost.core.clock import Clock
 from lycheepost.core.ids import DaemonId
 from lycheepost.generated.messages import PeerFlood, PeerHeartbeat, PeerHello
+from lycheepost.peers.member_messages import to_peer_member
 from lycheepost.peers.neighbours import choose_neighbours, choose_probe
-from lycheepost.peers.records import to_peer_member
 from lycheepost.peers.transport import Transport
 from lycheepost.peers.wire import (
     WireCounts,
@@ -31,45 +31,45 @@
 from lycheepost.state.members import MemberManager
 from lycheepost.utils.tasks import start_task
 
-_SILENT_EXCHANGES = 3.0
-"""Exchanges without a word after which a link is replaced; the same again, and
-the daemon is suspected."""
-_FORGET_EXCHANGES = 15.0
-"""An incoming link that is silent for so long is no longer written to."""
-_REMEMBERED_FLOODS = 4096
-"""Floods remembered so as to pass each on once. At the size to design for a few
-come each second, and one takes well under a second to reach everybody."""
-MOST_ASKED = 2
-"""Peers that a daemon asks for all members in one exchange, until one has answered. Of
-two hundred members each answer takes forty kilobytes, and when all daemons start at
-once each of them would be sent it ten times."""
-
-_PROBE_TURNS = 30
-_LINKLESS_SECONDS = 0.1
+_LINK_TIMEOUT_EXCHANGES = 3.0
+"""Exchanges without a message after which a link is replaced; after as many again the
+daemon is marked as suspect."""
+_INCOMING_TIMEOUT_EXCHANGES = 15.0
+"""Exchanges without a message after which nothing is sent on an incoming link."""
+_MAX_REMEMBERED_FLOODS = 4096
+"""Floods remembered in order to forward each one once. At the design size a few arrive
+each second, and one takes well under a second to reach the fleet."""
+MAX_MEMBER_REQUESTS = 2
+"""Peers that a daemon asks for all members in one exchange, until one has answered.
+With 200 members each answer takes 40 kB; when all daemons start at once, each would
+otherwise receive it ten times."""
+
+_PROBE_INTERVAL_EXCHANGES = 30
+_NO_LINK_INTERVAL_SECONDS = 0.1
 _log = structlog.get_logger(part="peers")
 
 T = TypeVar("T")
 OnPeerMessage = Callable[[Any, DaemonId], None]
-ChooseMates = Callable[[tuple[Member, ...]], tuple[Member, ...]]
+ChoosePeers = Callable[[tuple[Member, ...]], tuple[Member, ...]]
 
 
 @dataclass(slots=True)
 class _Link:
-    """What is known of the link with one daemon."""
+    """State of the link with one daemon."""
 
-    heard_seconds: float
+    last_contact_seconds: float
     opened_seconds: float
     is_ours: bool
     n_silences: int = 0
     sent_seconds: float = float("-inf")
     revision: int = 0
-    """The highest revision that the other end is known to know of."""
+    """The highest revision that the other end is known to have been notified of."""
     wants_floods: bool = True
-    """What the other end said last."""
+    """From the last hello of the other end."""
 
 
 class PeerExchange:
-    """The peer part of one daemon; made by ``make_peer_exchange``."""
+    """Links of one daemon with its peers; made by ``make_peer_exchange``."""
 
     def __init__(
         self,
@@ -79,9 +79,9 @@
         get_revision: Callable[[], int],
         fanout: int,
         exchange_seconds: float,
-        choose_mates: ChooseMates,
+        choose_peers: ChoosePeers,
     ) -> None:
-        self._choose_mates = choose_mates
+        self._choose_peers = choose_peers
         self._transport = transport
         self._members = members
         self._clock = clock
@@ -90,13 +90,13 @@
         self._exchange_seconds = exchange_seconds
         self._links: dict[DaemonId, _Link] = {}
         self._subscribers: dict[type, list[OnPeerMessage]] = defaultdict(list)
-        self._seen: OrderedDict[tuple[str, str, int], None] = OrderedDict()
+        self._seen_floods: OrderedDict[tuple[str, str, int], None] = OrderedDict()
         self._n_floods = 0
         self._no_flood: frozenset[DaemonId] = frozenset()
         self._neighbours: frozenset[DaemonId] = frozenset()
-        self._turn = 0
+        self._n_exchanges = 0
         self._has_members = False
-        self._n_asked = 0
+        self._n_member_requests = 0
         self._task: asyncio.Task[None] | None = None
         self.counts = WireCounts()
         self.n_replaced_links = 0
@@ -108,7 +108,7 @@
         self._task = start_task(self._run(), "peer-exchange")
 
     async def drain(self) -> None:
-        """Do nothing: members announce that this daemon leaves."""
+        """Do nothing: ``MemberManager.drain`` announces that this daemon leaves."""
 
     async def stop(self) -> None:
         """Close all links."""
@@ -141,7 +141,7 @@
         self._subscribers[message_type].append(on_message)
 
     def broadcast(self, message: Any) -> None:
-        """Flood a message to every daemon that can be reached."""
+        """Flood a message to every reachable daemon."""
         self._n_floods += 1
         me = self._members.me()
         flood = PeerFlood(
@@ -151,36 +151,36 @@
             kind=kind_of(message),
             body=encode_body(message),
         )
-        self._remember(flood)
+        self._remember_flood(flood)
         self._send_to_links(flood, None)
 
     def send(self, daemon: DaemonId, message: Any) -> bool:
-        """Send to one daemon with whom there is a link; False when dropped."""
+        """Send to one linked daemon; return False when the message was dropped."""
         return self._send_data(daemon, encode_message(message))
 
     def send_to_each(self, daemons: Iterable[DaemonId], message: Any) -> None:
-        """Send one message to several daemons; it is packed once."""
+        """Send one message to several daemons, encoded once."""
         data = encode_message(message)
         for daemon in daemons:
             self._send_data(daemon, data)
 
-    def tell_revision(self) -> None:
-        """Tell the revision in force to the links that do not know of it.
+    def send_revision(self) -> None:
+        """Send the current revision on the links whose other end lacks it.
 
-        Links over which it came, or that have told it themselves, are left out:
-        at 64,000 changes a day this halves what a change costs.
+        Links over which it arrived, or whose other end has reported it, are skipped:
+        at 64,000 changes a day this halves the cost of a change.
         """
         revision = self._get_revision()
         for daemon, link in list(self._links.items()):
             if link.revision < revision:
-                self._beat(daemon, link, revision)
+                self._send_heartbeat(daemon, link, revision)
 
-    def linked(self) -> tuple[DaemonId, ...]:
-        """Return the daemons with whom there is a link."""
+    def linked_daemons(self) -> tuple[DaemonId, ...]:
+        """Return the daemons with which there is a link."""
         return tuple(self._links)
 
-    def flooded(self) -> tuple[DaemonId, ...]:
-        """Return those of them to whom floods go."""
+    def flooded_daemons(self) -> tuple[DaemonId, ...]:
+        """Return the linked daemons to which floods are sent."""
         return tuple(
             daemon for daemon, link in self._links.items() if self._floods(daemon, link)
         )
@@ -195,24 +195,24 @@
             self._check_silence(now_seconds)
             self._choose_links(now_seconds)
             self._send_heartbeats(now_seconds)
-            self._turn += 1
-            self._n_asked = 0
-            # Until there is a link, members may become known at any moment, and
-            # a daemon that has just started needs its peers at once.
+            self._n_exchanges += 1
+            self._n_member_requests = 0
+            # Without a link, check more often: members may become known at any time,
+            # and a daemon that has just started needs its peers immediately.
             pause_seconds = self._exchange_seconds
             if not self._links:
-                pause_seconds = min(_LINKLESS_SECONDS, pause_seconds)
+                pause_seconds = min(_NO_LINK_INTERVAL_SECONDS, pause_seconds)
             await asyncio.sleep(pause_seconds)
 
     def _send_heartbeats(self, now_seconds: float) -> None:
-        """Send one on each link that carried nothing since the last exchange."""
+        """Send one on each link that is idle or whose other end lacks the revision."""
         revision = self._get_revision()
         due_seconds = now_seconds - self._exchange_seconds / 2
         for daemon, link in list(self._links.items()):
             if link.sent_seconds <= due_seconds or link.revision < revision:
-                self._beat(daemon, link, revision)
+                self._send_heartbeat(daemon, link, revision)
 
-    def _beat(self, daemon: DaemonId, link: _Link, revision: int) -> None:
+    def _send_heartbeat(self, daemon: DaemonId, link: _Link, revision: int) -> None:
         if self.send(daemon, PeerHeartbeat(revision=revision)):
             link.revision = max(link.revision, revision)
 
@@ -220,24 +220,26 @@
         me = self._members.me().daemon
         members = self._members.members()
         neighbours = choose_neighbours(me, members, self._fanout)
-        mates = self._choose_mates(members)
+        peers = self._choose_peers(members)
         before, self._no_flood = (
             self._no_flood,
-            _flooded_by_others(members, neighbours, mates),
+            _peers_without_floods(members, neighbours, peers),
         )
         for daemon in before ^ self._no_flood:
             if daemon in self._links:
-                self._greet(daemon)
+                self._send_hello(daemon)
         self._neighbours = frozenset(member.daemon for member in neighbours)
-        wanted = [*neighbours, *mates]
-        if self._turn % _PROBE_TURNS == 0:
-            probe = choose_probe(me, members, self._turn // _PROBE_TURNS)
+        wanted = [*neighbours, *peers]
+        if self._n_exchanges % _PROBE_INTERVAL_EXCHANGES == 0:
+            probe = choose_probe(
+                me, members, self._n_exchanges // _PROBE_INTERVAL_EXCHANGES
+            )
             wanted += [] if probe is None else [probe]
         for member in wanted:
             if member.daemon not in self._links:
                 self._open(member.daemon, member.peer_endpoint, now_seconds)
         kept = {member.daemon for member in wanted}
-        if self._turn % _PROBE_TURNS:
+        if self._n_exchanges % _PROBE_INTERVAL_EXCHANGES:
             kept |= {name for name, link in self._links.items() if not link.is_ours}
             for name in set(self._links) - kept:
                 self._close(name)
@@ -245,34 +247,36 @@
     def _open(self, daemon: DaemonId, endpoint: str, now_seconds: float) -> None:
         self._transport.connect(daemon, endpoint)
         self._links[daemon] = _Link(now_seconds, now_seconds, True)
-        self._greet(daemon)
+        self._send_hello(daemon)
 
     def _close(self, daemon: DaemonId) -> None:
         self._transport.disconnect(daemon)
         self._links.pop(daemon, None)
 
-    def _greet(self, daemon: DaemonId) -> None:
+    def _send_hello(self, daemon: DaemonId) -> None:
         member = to_peer_member(self._members.me())
-        asks = not self._has_members and self._n_asked < MOST_ASKED
-        self._n_asked += asks
+        wants_members = (
+            not self._has_members and self._n_member_requests < MAX_MEMBER_REQUESTS
+        )
+        self._n_member_requests += wants_members
         hello = PeerHello(
             member=member,
-            wants_members=asks,
+            wants_members=wants_members,
             wants_floods=daemon not in self._no_flood,
         )
         self.send(daemon, hello)
 
     def _check_silence(self, now_seconds: float) -> None:
-        """Replace links that have gone silent without being closed."""
-        silent_seconds = _SILENT_EXCHANGES * self._exchange_seconds
-        forget_seconds = _FORGET_EXCHANGES * self._exchange_seconds
+        """Replace links that time out without having been closed."""
+        timeout_seconds = _LINK_TIMEOUT_EXCHANGES * self._exchange_seconds
+        incoming_timeout_seconds = _INCOMING_TIMEOUT_EXCHANGES * self._exchange_seconds
         for daemon, link in list(self._links.items()):
-            quiet_seconds = now_seconds - link.heard_seconds
+            silence_seconds = now_seconds - link.last_contact_seconds
             if not link.is_ours:
-                if quiet_seconds > forget_seconds:
+                if silence_seconds > incoming_timeout_seconds:
                     del self._links[daemon]
-            elif now_seconds - max(link.opened_seconds, link.heard_seconds) > (
-                silent_seconds
+            elif now_seconds - max(link.opened_seconds, link.last_contact_seconds) > (
+                timeout_seconds
             ):
                 self._replace(daemon, link, now_seconds)
 
@@ -293,16 +297,16 @@
         )
         self._transport.connect(daemon, endpoint)
         link.opened_seconds = now_seconds
-        self._greet(daemon)
+        self._send_hello(daemon)
 
     def _receive(self, sender: DaemonId, data: bytes) -> None:
         message = decode_message(data, self.counts)
         if message is None:
             return
-        link = self._note_heard(sender)
+        link = self._record_contact(sender)
         match message:
             case PeerHeartbeat(revision=revision):
-                # A lost message or a restart may have put it behind again.
+                # May be lower than before, after a lost message or a restart.
                 link.revision = revision
                 self._pass_to_subscribers(message, sender)
             case PeerFlood():
@@ -313,42 +317,42 @@
             self._has_members = True
             link.wants_floods = message.wants_floods
 
-    def _note_heard(self, sender: DaemonId) -> _Link:
+    def _record_contact(self, sender: DaemonId) -> _Link:
         now_seconds = self._clock.now_seconds()
         link = self._links.get(sender)
         if link is None:
             link = _Link(now_seconds, now_seconds, False)
             self._links[sender] = link
-            self._greet(sender)
-            self._beat(sender, link, self._get_revision())
-        link.heard_seconds = now_seconds
+            self._send_hello(sender)
+            self._send_heartbeat(sender, link, self._get_revision())
+        link.last_contact_seconds = now_seconds
         link.n_silences = 0
         return link
 
     def _receive_flood(self, flood: PeerFlood, sender: DaemonId) -> None:
-        if not self._remember(flood):
+        if not self._remember_flood(flood):
             return
-        # Passed on before it is understood: a newer release behind this one
+        # Forwarded before it is decoded: a daemon of a newer release beyond this one
         # may know the kind.
         self._send_to_links(flood, sender)
         message = decode_body(flood.kind, flood.body, self.counts)
         if message is not None:
             self._pass_to_subscribers(message, DaemonId(flood.origin))
 
-    def _remember(self, flood: PeerFlood) -> bool:
-        """Return whether a flood is new here."""
+    def _remember_flood(self, flood: PeerFlood) -> bool:
+        """Record a flood; return whether it is new."""
         key = (flood.origin, flood.boot, flood.sequence)
-        if key in self._seen:
+        if key in self._seen_floods:
             return False
-        self._seen[key] = None
-        if len(self._seen) > _REMEMBERED_FLOODS:
-            self._seen.popitem(last=False)
+        self._seen_floods[key] = None
+        if len(self._seen_floods) > _MAX_REMEMBERED_FLOODS:
+            self._seen_floods.popitem(last=False)
         return True
 
-    def _send_to_links(self, message: Any, but: DaemonId | None) -> None:
+    def _send_to_links(self, message: Any, excluded: DaemonId | None) -> None:
         data = encode_message(message)
         for daemon, link in list(self._links.items()):
-            if daemon != but and self._floods(daemon, link):
+            if daemon != excluded and self._floods(daemon, link):
                 self._send_data(daemon, data)
 
     def _send_data(self, daemon: DaemonId, data: bytes) -> bool:
@@ -362,22 +366,22 @@
             on_message(message, sender)
 
 
-def _flooded_by_others(
+def _peers_without_floods(
     members: tuple[Member, ...],
     neighbours: tuple[Member, ...],
-    mates: tuple[Member, ...],
+    peers: tuple[Member, ...],
 ) -> frozenset[DaemonId]:
-    """Return the mates to whom floods are not sent, and who need not send them to us.
+    """Return the peers to which no floods are sent and which need not send any.
 
-    The neighbours alone reach everybody. Were floods to go over the links with all
-    mates as well, each daemon of a large fleet would get every flood ten times, and
-    one that thirty others ask would send it thirty times. Where the mates are the whole
-    fleet, they get it straight.
+    Floods over the links with neighbours alone reach the whole fleet. If they were sent
+    to all ``peers`` as well, each daemon of a large fleet would receive every flood ten
+    times, and one that thirty others ask would send it thirty times. When ``peers`` are
+    the whole fleet, floods are sent to them directly.
     """
-    if len(mates) + 1 >= len(members):
+    if len(peers) + 1 >= len(members):
         return frozenset()
-    near = {member.daemon for member in neighbours}
-    return frozenset(member.daemon for member in mates) - near
+    neighbour_names = {member.daemon for member in neighbours}
+    return frozenset(member.daemon for member in peers) - neighbour_names
 
 
 def make_peer_exchange(
@@ -387,18 +391,18 @@
     get_revision: Callable[[], int],
     fanout: int = 4,
     exchange_seconds: float = 1.0,
-    choose_mates: ChooseMates = lambda _members: (),
+    choose_peers: ChoosePeers = lambda _members: (),
 ) -> PeerExchange:
-    """Return the peer part of one daemon.
+    """Return the links of one daemon with its peers.
 
     Args:
         transport: Links by socket or in memory.
-        members: Whom there is to link with.
+        members: The daemons that can be linked with.
         clock: Clock of this daemon.
-        get_revision: Returns the revision in force, told in heartbeats.
+        get_revision: Returns the current revision, which heartbeats carry.
         fanout: Links that this daemon opens.
         exchange_seconds: Time between heartbeats.
-        choose_mates: Picks further members to hold links with.
+        choose_peers: Picks further members to hold links with.
     """
     return PeerExchange(
         transport,
@@ -407,5 +411,5 @@
         get_revision,
         fanout,
         exchange_seconds,
-        choose_mates,
+        choose_peers,
     )
--- a/lycheepost/peers/noticenews.py
+++ b/lycheepost/peers/notice_messages.py
@@ -1,4 +1,4 @@
-"""What targets have said of themselves, as it travels between daemons."""
+"""Convert limits and leaving states that targets reported to peer messages and back."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -14,16 +14,16 @@
     leaving: Iterable[TargetStart],
     now_seconds: float,
 ) -> NoticeNews:
-    """Return what travels between daemons."""
+    """Return the message to send to peers."""
     return NoticeNews(
         limits=[
             TargetLimit(
                 target=target,
-                limit_per_second=said.per_second or 0.0,
-                age_seconds=now_seconds - said.said_seconds,
-                is_ended=said.per_second is None,
+                limit_per_second=limit.per_second or 0.0,
+                age_seconds=now_seconds - limit.said_seconds,
+                is_ended=limit.per_second is None,
             )
-            for target, said in limits.items()
+            for target, limit in limits.items()
         ],
         leaving=[
             LeavingTarget(target=start.target, started_ms=start.started_ms)
@@ -35,7 +35,7 @@
 def limits_of(
     message: NoticeNews, now_seconds: float
 ) -> list[tuple[TargetId, SaidLimit]]:
-    """Return the limits that a message tells; figures that are none are left out."""
+    """Return the limits in a message; invalid figures are left out."""
     return [
         (
             TargetId(item.target),
@@ -46,17 +46,17 @@
             ),
         )
         for item in message.limits
-        if _is_sound(item)
+        if _is_valid(item)
     ]
 
 
 def leaving_of(message: NoticeNews) -> list[TargetStart]:
-    """Return the starts of targets that a message tells to be leaving."""
+    """Return the starts of targets that a message reports as leaving."""
     return [
         TargetStart(TargetId(item.target), item.started_ms) for item in message.leaving
     ]
 
 
-def _is_sound(item: TargetLimit) -> bool:
+def _is_valid(item: TargetLimit) -> bool:
     figures = (item.limit_per_second, item.age_seconds)
     return all(math.isfinite(figure) and figure >= 0.0 for figure in figures)
--- a/lycheepost/peers/quotanews.py
+++ b/lycheepost/peers/quota_messages.py
@@ -1,4 +1,4 @@
-"""What daemons say of quotas, as it travels between them."""
+"""Convert the quota usage that daemons report to peer messages and back."""
 
 import math
 
@@ -8,27 +8,27 @@
 from lycheepost.generated.messages import CustomerSpent, QuotaSpent
 
 
-def to_message(news: QuotaNews) -> QuotaSpent:
-    """Return what travels between daemons."""
+def to_message(usage: QuotaNews) -> QuotaSpent:
+    """Return the message to send to peers."""
     return QuotaSpent(
-        start=news.start,
-        is_entry=news.is_entry,
-        is_synced=news.is_synced,
-        wants_relay=news.wants_relay,
+        start=usage.start,
+        is_entry=usage.is_entry,
+        is_synced=usage.is_synced,
+        wants_relay=usage.wants_relay,
         customers=[
             CustomerSpent(
                 customer=customer, spent_units=count.spent, left_units=count.level
             )
-            for customer, count in news.counts.items()
+            for customer, count in usage.counts.items()
         ],
     )
 
 
 def from_message(message: QuotaSpent) -> QuotaNews:
-    """Return what a message says.
+    """Return the usage in a message.
 
-    A count that is no number would be in the bucket for good, and its customer be
-    refused, or let through, for as long as the daemon lives; it is left out.
+    Counts that are not finite are left out. One would stay in the token bucket and have
+    its customer always refused, or always admitted, until the daemon restarts.
     """
     return QuotaNews(
         message.start,
--- a/lycheepost/peers/shared.py
+++ b/lycheepost/peers/shared.py
@@ -1,4 +1,4 @@
-"""The shared state of one daemon, put together: one part to start and stop."""
+"""Composes the shared state of one daemon into one component to start and stop."""
 
 import secrets
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from lycheepost.core.ids import AvailabilityZone, DaemonId
 from lycheepost.generated.configuration import Configuration
 from lycheepost.generated.settings import Settings
-from lycheepost.peers.exchange import ChooseMates, PeerExchange, make_peer_exchange
+from lycheepost.peers.exchange import ChoosePeers, PeerExchange, make_peer_exchange
 from lycheepost.peers.membership import MemberExchange
 from lycheepost.peers.revisions import RevisionExchange
 from lycheepost.peers.transport import Transport
@@ -27,12 +27,12 @@
 SNAPSHOT_DUTY = "snapshots"
 EXPIRY_DUTY = "claim-expiry"
 _DUTY_PERIOD_SHARE = 0.3
-"""Of a lease: three tries to renew before it runs out."""
+"""Share of a lease's length between renewals: three attempts before it expires."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """The platform's services that the shared state uses."""
+    """The platform services that the shared state uses."""
 
     table: TablePort
     objects: ObjectPort
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedState:
-    """The parts of one daemon's shared state; made by ``make_shared_state``."""
+    """Components of one daemon's shared state; made by ``make_shared_state``."""
 
     revisions: RevisionManager
     members: MemberManager
@@ -51,7 +51,7 @@
     duties: tuple[DutyRunner, ...]
 
     async def start(self) -> None:
-        """Start every part: peers before the table, so that they answer first."""
+        """Start every component: peers before the table, so that they answer first."""
         await self.exchange.start()
         await self.members.start()
         await self.revisions.start()
@@ -60,14 +60,14 @@
             await duty.start()
 
     async def drain(self) -> None:
-        """Leave the addresses answers, store answers, give duties up."""
+        """Withdraw from addresses answers, store answers and release duties."""
         await self.members.drain()
         for duty in self.duties:
             await duty.drain()
         await self.claims.drain()
 
     async def stop(self) -> None:
-        """Stop every part in reverse."""
+        """Stop every component in reverse order."""
         for duty in self.duties:
             await duty.stop()
         await self.claims.stop()
@@ -76,7 +76,7 @@
         await self.exchange.stop()
 
     def status(self) -> dict[str, object]:
-        """Return the status of every part."""
+        """Return the status of every component."""
         return {
             "revisions": self.revisions.status(),
             "members": self.members.status(),
@@ -94,7 +94,7 @@
     fallback: Configuration | None = None,
     callers_url: str = "",
     boot: str = "",
-    choose_mates: ChooseMates = lambda _members: (),
+    choose_peers: ChoosePeers = lambda _members: (),
 ) -> SharedState:
     """Return the shared state of one daemon.
 
@@ -104,11 +104,11 @@
         clock: A clock that counts suspension.
         settings: The daemon's settings.
         fallback: Configuration to serve from until a better source answers.
-        callers_url: Where callers reach this daemon, if it is known yet; else
-            ``members.set_callers_url`` tells it later.
+        callers_url: Where callers reach this daemon, if already known; otherwise
+            set later by ``members.set_callers_url``.
         boot: Unique for each start of the daemon, also the seed of its jitter;
-            made up when empty.
-        choose_mates: Picks members to hold links with, beside those of the rings.
+            generated when empty.
+        choose_peers: Picks members to hold links with, beside those of the rings.
     """
     daemon = DaemonId(settings.daemon.daemon_id)
     boot = boot or secrets.token_hex(6)
@@ -150,7 +150,7 @@
         lambda: revisions.revision,
         settings.peers.fanout,
         settings.peers.exchange_seconds,
-        choose_mates,
+        choose_peers,
     )
     MemberExchange(exchange, members, clock)
     RevisionExchange(exchange, revisions, clock)
@@ -162,7 +162,7 @@
         _claim_limits(settings),
         members.owner_is_live,
         boot,
-        lambda: max(members.n_live(), _FEWEST_DAEMONS),
+        lambda: max(members.n_live(), _MIN_DAEMONS),
     )
     leases = LeaseManager(
         ports.table, clock, daemon, state.lease_seconds, state.lease_margin_seconds
@@ -191,15 +191,15 @@
 
 
 def _claim_limits(settings: Settings) -> ClaimLimits:
-    most = settings.platform.table_writes_per_second
+    max_writes_per_second = settings.platform.table_writes_per_second
     return ClaimLimits(
         wait_seconds=2 * settings.platform.timeout_seconds,
         answer_bytes=settings.streams.stored_answer_bytes,
         batch_seconds=settings.state.claim_batch_seconds,
         batch_rows=settings.state.claim_batch,
-        max_writes_per_second=most,
+        max_writes_per_second=max_writes_per_second,
     )
 
 
-_FEWEST_DAEMONS = 7
-"""Daemons of today's deployments, assumed until members tell of more."""
+_MIN_DAEMONS = 7
+"""Daemons of a typical deployment, assumed until more members are known."""
--- a/lycheepost/peers/socketreader.py
+++ b/lycheepost/peers/socketreader.py
@@ -1,8 +1,8 @@
-"""Hands on what a ZeroMQ socket receives, on the event loop.
+"""Delivers the messages of a ZeroMQ socket on the event loop.
 
-ZeroMQ tells by a descriptor that something has changed, and only once until all of it
-was taken. So each notice reads until nothing is left, and a send, which may take a
-notice with it, is followed by a look as well.
+ZeroMQ's file descriptor is edge-triggered: it signals once, and not again until all
+messages have been read. So each event reads until the socket is empty, and each send,
+which may consume an event, schedules a read as well.
 
 ``zmq.asyncio`` does the same with a future for each message, which takes longer than
 the message itself.
@@ -14,11 +14,11 @@
 import structlog
 import zmq
 
-MOST_AT_ONCE = 64
-"""Messages that are handed on before other work of the loop has its turn."""
+MAX_MESSAGES_PER_READ = 64
+"""Messages delivered in one go before the event loop runs other callbacks."""
 
 NOBLOCK = int(zmq.NOBLOCK)
-"""As a plain number: an operation on pyzmq's flags takes longer than a receive."""
+"""As a plain integer: an operation on pyzmq's flags takes longer than a receive."""
 
 OnParts = Callable[[list[bytes]], None]
 
@@ -29,8 +29,8 @@
     """Reads one socket until it is closed.
 
     Args:
-        socket: What to read.
-        on_parts: Gets the frames of each message.
+        socket: The socket to read.
+        on_parts: Called with the frames of each message.
     """
 
     def __init__(self, socket: zmq.Socket[bytes], on_parts: OnParts) -> None:
@@ -39,40 +39,41 @@
         self._loop = asyncio.get_running_loop()
         self._descriptor = int(socket.getsockopt(zmq.FD))
         self._is_closed = False
-        self._next_look: asyncio.Handle | None = None
+        self._scheduled_read: asyncio.Handle | None = None
         self._loop.add_reader(self._descriptor, self._read)
-        self.look_soon()
+        self.schedule_read()
 
-    def look_soon(self) -> None:
-        """Look for messages once the present work of the loop is done."""
-        if self._next_look is None and not self._is_closed:
-            self._next_look = self._loop.call_soon(self._look)
+    def schedule_read(self) -> None:
+        """Read the socket on the next iteration of the event loop."""
+        if self._scheduled_read is None and not self._is_closed:
+            self._scheduled_read = self._loop.call_soon(self._run_scheduled_read)
 
     def close(self) -> None:
         """Stop reading; called before the socket is closed."""
         self._is_closed = True
         self._loop.remove_reader(self._descriptor)
-        if self._next_look is not None:
-            self._next_look.cancel()
+        if self._scheduled_read is not None:
+            self._scheduled_read.cancel()
 
-    def _look(self) -> None:
-        self._next_look = None
+    def _run_scheduled_read(self) -> None:
+        self._scheduled_read = None
         self._read()
 
     def _read(self) -> None:
-        for _ in range(MOST_AT_ONCE):
+        for _ in range(MAX_MESSAGES_PER_READ):
             if self._is_closed:
                 return
             try:
                 parts = self._socket.recv_multipart(NOBLOCK)
             except zmq.Again:
                 return
-            self._hand_on(parts)
-        self.look_soon()
+            self._deliver(parts)
+        self.schedule_read()
 
-    def _hand_on(self, parts: list[bytes]) -> None:
+    def _deliver(self, parts: list[bytes]) -> None:
         try:
             self._on_parts(parts)
         except Exception:
-            # Raised, it would leave what waits behind it unread until the next notice.
-            _log.exception("peers: a message could not be taken")
+            # If raised, the messages behind this one would stay unread until the next
+            # event.
+            _log.exception("peers: a message could not be handled")
