--- a/features/app/steps/settings_steps.py
+++ b/features/app/steps/settings_steps.py
@@ -20,7 +20,7 @@
 from lycheepost.platform.settings import decode_settings
 
 ROOT = pathlib.Path(__file__).resolve().parents[3]
-PATIENCE_SECONDS = 20.0
+WAIT_TIMEOUT_SECONDS = 20.0
 TEXT = """node_name=front-a-1
 zone=zone-a
 ip=127.0.0.1
@@ -45,7 +45,7 @@
 def step_change(context, ms, zone):
     text = TEXT.replace("revoke_ms=5000", f"revoke_ms={ms}")
     context.path.write_text(text.replace("zone=zone-a", f"zone={zone}"))
-    context.watch.look()
+    context.watch.reload()
 
 
 @when("the file {fault}")
@@ -67,7 +67,7 @@
         case "has ports from last on":
             text = TEXT.replace("7340,7355", "7355,7340")
             context.path.write_text(text.replace("5000", "3000"))
-    context.watch.look()
+    context.watch.reload()
 
 
 @then("the watch has the bound of {seconds:g} s")
@@ -110,8 +110,8 @@
 @then("the daemon goes by {seen}")
 def step_goes_by(context, seen):
     daemon = context.daemon
-    terms = daemon._made.traffic.dispatcher._scheduler._retry_terms
-    old_seconds = daemon._made.traffic.targets.old_weights_seconds()
+    terms = daemon._components.traffic.dispatcher._scheduler._retry_terms
+    old_seconds = daemon._components.traffic.targets.old_weights_seconds()
     found = {
         "questions held": f"for {daemon.watches[0]._wait_seconds():.3g} s",
         "repeats": f"of {terms.share:.3g} per request",
@@ -146,7 +146,7 @@
 
 
 def wait_until(condition):
-    deadline = time.monotonic() + PATIENCE_SECONDS
+    deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
     while not condition():
         assert time.monotonic() < deadline, "it did not come about"
         time.sleep(0.05)
@@ -181,5 +181,5 @@
 
 @then("it ends by itself with code 0")
 def step_ends(context):
-    code = context.processes["daemon"].wait(timeout=PATIENCE_SECONDS)
+    code = context.processes["daemon"].wait(timeout=WAIT_TIMEOUT_SECONDS)
     assert code == 0, context.log.read_text()
--- a/features/peers/steps/flood_steps.py
+++ b/features/peers/steps/flood_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from lycheepost.app.fleetplace import EntryChooser, find_place
+from lycheepost.app.fleettopology import EntryChooser, find_topology
 from lycheepost.app.platformpeers import PEER_LINKS
 from lycheepost.core.ids import AvailabilityZone, DaemonId
 from lycheepost.peers.exchange import _flooded_by_others
@@ -26,13 +26,13 @@
     context.neighbours = {}
     entry = EntryChooser().choose(members)
     for me in members:
-        place = find_place(me, members, entry)
-        names = {*place.mates, *place.sources}
-        mates = tuple(member for member in members if member.daemon in names)
+        topology = find_topology(me, members, entry)
+        names = {*topology.peers, *topology.sources}
+        peers = tuple(member for member in members if member.daemon in names)
         neighbours = choose_neighbours(me.daemon, members, PEER_LINKS)
         context.neighbours[me.daemon] = {item.daemon for item in neighbours}
-        context.not_flooded[me.daemon] = _flooded_by_others(members, neighbours, mates)
-        for other in (*neighbours, *mates):
+        context.not_flooded[me.daemon] = _flooded_by_others(members, neighbours, peers)
+        for other in (*neighbours, *peers):
             context.links[me.daemon].add(other.daemon)
             context.links[other.daemon].add(me.daemon)
 
--- a/features/platform/steps/demo_steps.py
+++ b/features/platform/steps/demo_steps.py
@@ -38,7 +38,7 @@
 @when("the audit is shown {what}")
 def step_shown(context, what):
     report = platformdemo.PlatformDemoReport()
-    asked = platformdemo.Asked("order", "POST", "/order/1", b"", b"right")
+    asked = platformdemo.DemoRequest("order", "POST", "/order/1", b"", b"right")
     fleet = make_fleet("/order/1")
     answers = {
         "another request's answer": Answer(200, {}, b"wrong"),
@@ -46,7 +46,7 @@
         "an order that ran, called unrun": Answer(503),
     }
     if what in answers:
-        platformdemo.judge(fleet, asked, "a1", answers[what], 0.1, report)
+        platformdemo.check_answer(fleet, asked, "a1", answers[what], 0.1, report)
     elif what == "refusals and nothing else":
         report.outcomes.update(["order 503", "look 503", "title cut"])
         platformdemo._audit_served(report)
--- a/features/platform/steps/fleet_steps.py
+++ b/features/platform/steps/fleet_steps.py
@@ -301,4 +301,4 @@
 def step_cannot_serve(context, n):
     for daemon in context.deployment.daemons[-n:]:
         daemon.is_leaving = True
-        daemon._made.peers.members.announce_leaving()
+        daemon._components.peers.members.announce_leaving()
--- a/features/platform/steps/notice_steps.py
+++ b/features/platform/steps/notice_steps.py
@@ -345,7 +345,7 @@
 
 @when("a look-up is placed, and its server then asks the daemon for a pause")
 def step_placed_first(context):
-    traffic = context.deployment.daemons[0]._made.traffic
+    traffic = context.deployment.daemons[0]._components.traffic
     admit = traffic.dispatcher.admit
     context.placed = []
 
@@ -372,7 +372,9 @@
 def step_follows_others(context):
     followed = {
         source.target
-        for source in context.deployment.daemons[0]._made.traffic.caches._watch._tasks
+        for source in context.deployment.daemons[
+            0
+        ]._components.traffic.caches._watch._tasks
         if source.target is not None
     }
     others = context.deployment.group("llm")[1:]
@@ -382,7 +384,7 @@
 @when("a server loses a request {when} its pause")
 def step_loses(context, when):
     deployment = context.deployment
-    traffic = deployment.daemons[0]._made.traffic
+    traffic = deployment.daemons[0]._components.traffic
     context.server = server = deployment.group("plain")[0]
     listed = traffic.targets.get(server.name)
     if when == "during":
--- a/features/platform/steps/share_steps.py
+++ b/features/platform/steps/share_steps.py
@@ -6,7 +6,7 @@
 from returns.result import Success
 
 from lycheepost.app.platformfleet import BOUNDS
-from lycheepost.app.platformtraffic import count_sharing, retry_terms
+from lycheepost.app.platformtraffic import count_retry_shares, retry_terms
 from lycheepost.core.ids import DaemonId
 from lycheepost.platform import storecalls
 from lycheepost.platform.settings import decode_settings
@@ -35,7 +35,7 @@
     bounds = type(BOUNDS)(**{**vars_of(BOUNDS), "retry_burst": burst})
     context.bursts = {
         name: retry_terms(
-            bounds, count_sharing(name, context.entry, len(context.names))
+            bounds, count_retry_shares(name, context.entry, len(context.names))
         ).burst
         for name in context.names
     }
--- a/lycheepost/app/cachefollow.py
+++ b/lycheepost/app/cachefollow.py
@@ -36,11 +36,11 @@
         self._follows_engines = True
         self._follows_stores = True
         self._copies = copies
-        self._watch = CacheWatch(port, self._take)
+        self._watch = CacheWatch(port, self._apply_events)
         self._dispatcher = dispatcher
         self._targets = targets
         self._table: RouteTable | None = None
-        self._viewed: frozenset[TargetId] = frozenset()
+        self._listed: frozenset[TargetId] = frozenset()
 
     async def start(self) -> None:
         """Begin to follow."""
@@ -60,7 +60,7 @@
 
     def set_targets(self, views: tuple[TargetView, ...]) -> None:
         """Follow the engines that there are now."""
-        self._viewed = frozenset(view.target for view in views)
+        self._listed = frozenset(view.target for view in views)
         self.refresh()
 
     def follow_engines(self, is_follower: bool) -> None:
@@ -98,10 +98,12 @@
             for name, group in table.groups.items()
             if group.engine is not None
             for target in self._targets.listed(name)
-            if target.target in self._viewed and not target.is_leaving
+            if target.target in self._listed and not target.is_leaving
         ]
 
-    def _take(self, source: CacheSource, events: tuple[CacheEvent, ...]) -> None:
+    def _apply_events(
+        self, source: CacheSource, events: tuple[CacheEvent, ...]
+    ) -> None:
         if source.target is None:
             self._copies.observe(source.address, source.incarnation, events)
             return
--- a/lycheepost/app/parts.py
+++ b/lycheepost/app/components.py
@@ -16,7 +16,7 @@
 _log = structlog.get_logger(part="app")
 
 
-class Part(Protocol):
+class Component(Protocol):
     """The life-cycle hooks of one part."""
 
     async def start(self) -> None:
@@ -32,39 +32,39 @@
         ...
 
 
-async def start_parts(parts: list[Part]) -> None:
+async def start_components(components: list[Component]) -> None:
     """Start parts in order; on a failure stop those that have started.
 
     Raises:
         OSError: A socket could not be opened.
     """
-    started: list[Part] = []
+    started: list[Component] = []
     try:
-        for part in parts:
-            started.append(part)
-            await part.start()
+        for component in components:
+            started.append(component)
+            await component.start()
     except BaseException:
-        await stop_parts(started)
+        await stop_components(started)
         raise
 
 
-async def drain_parts(parts: list[Part], within_seconds: float) -> bool:
+async def drain_components(components: list[Component], within_seconds: float) -> bool:
     """Drain parts in reverse order; False when the time ran out."""
     try:
         async with asyncio.timeout(within_seconds):
-            for part in reversed(parts):
-                await part.drain()
+            for component in reversed(components):
+                await component.drain()
         return True
     except TimeoutError:
         _log.warning("app: drain took too long; stopping anyway")
         return False
 
 
-async def stop_parts(parts: list[Part]) -> None:
+async def stop_components(components: list[Component]) -> None:
     """Stop parts in reverse order; a fault of one does not keep the others."""
-    for part in reversed(parts):
+    for component in reversed(components):
         try:
             async with asyncio.timeout(STOP_SECONDS):
-                await part.stop()
+                await component.stop()
         except Exception:
-            _log.exception("app: a part did not stop", name=type(part).__name__)
+            _log.exception("app: a part did not stop", name=type(component).__name__)
--- a/lycheepost/app/daemon.py
+++ b/lycheepost/app/daemon.py
@@ -14,9 +14,14 @@
 from returns.pipeline import is_successful
 
 from lycheepost.app.capacity import make_capacity
+from lycheepost.app.components import (
+    Component,
+    drain_components,
+    start_components,
+    stop_components,
+)
 from lycheepost.app.gauges import GaugeReporter
 from lycheepost.app.listeners import Listener, make_listener
-from lycheepost.app.parts import Part, drain_parts, start_parts, stop_parts
 from lycheepost.app.platform import Platform, make_http_platform
 from lycheepost.app.settings import fallback_configuration
 from lycheepost.app.status import fleet_status
@@ -36,7 +41,7 @@
 from lycheepost.state.addresses import Member
 from lycheepost.utils.metrics import make_metrics
 
-_START_BITS = 48
+_START_ID_BITS = 48
 """Enough that two starts of a daemon never have the same number."""
 
 _log = structlog.get_logger(part="app")
@@ -60,7 +65,7 @@
         traffic: Traffic,
         callers: Listener,
         operators: Listener,
-        parts: list[Part],
+        components: list[Component],
         status: Callable[[], dict[str, Any]],
     ) -> None:
         self.state = state
@@ -69,7 +74,7 @@
         self.callers = callers
         self.operators = operators
         self._settings = settings
-        self._parts = parts
+        self._components = components
 
     @property
     def callers_url(self) -> str:
@@ -84,7 +89,7 @@
         Raises:
             OSError: A port is taken.
         """
-        await start_parts(self._parts)
+        await start_components(self._components)
         # Only now are the ports known where the settings leave them open.
         self.state.members.set_callers_url(self.callers_url)
         _log.info(
@@ -111,11 +116,11 @@
                 await front.drain()
         except TimeoutError:
             _log.warning("app: requests outlived the drain", n_open=front.n_open)
-        await drain_parts(self._parts, daemon.drain_seconds)
+        await drain_components(self._components, daemon.drain_seconds)
 
     async def stop(self) -> None:
         """Stop all parts."""
-        await stop_parts(self._parts)
+        await stop_components(self._components)
         _log.info("app: stopped")
 
 
@@ -141,7 +146,7 @@
         clock,
         settings,
         fallback_configuration(settings),
-        choose_mates=lambda members: _quota_mates(fleet_quotas, members, clock),
+        choose_mates=lambda members: _quota_peers(fleet_quotas, members, clock),
     )
     me = state.members.me()
     recorder = Recorder(me.daemon, me.boot, settings.objectives)
@@ -164,26 +169,26 @@
     capacity = make_capacity(
         settings, platform, state, traffic.control, traffic.hot, clock
     )
-    parts: list[Part] = [
+    components: list[Component] = [
         platform,
         state,
-        *traffic.parts(),
+        *traffic.components(),
         history,
         capacity,
         callers,
         operators,
     ]
     if settings.metrics.statsd_host:
-        parts.append(GaugeReporter(status, metrics))
-    return Daemon(settings, state, traffic, callers, operators, parts, status)
+        components.append(GaugeReporter(status, metrics))
+    return Daemon(settings, state, traffic, callers, operators, components, status)
 
 
 def make_fleet_quotas(clock: Clock) -> FleetQuotas:
     """Return the quotas of a daemon that starts now."""
-    return FleetQuotas(secrets.randbits(_START_BITS), clock.now_seconds())
+    return FleetQuotas(secrets.randbits(_START_ID_BITS), clock.now_seconds())
 
 
-def _quota_mates(
+def _quota_peers(
     quotas: FleetQuotas, members: tuple[Member, ...], clock: Clock
 ) -> tuple[Member, ...]:
     """Return the members with whom quotas are shared, while there are any quotas."""
--- a/lycheepost/app/feed.py
+++ b/lycheepost/app/feed.py
@@ -23,18 +23,17 @@
 from lycheepost.state.view import ConfigurationView
 from lycheepost.utils.tasks import start_task
 
-FEED_SECONDS = 1.0
-"""Signs and revisions are fed when they come; this look only finds signs that ran
-out. At 12,000 targets a look takes 11 ms (`lycheepost bench slopes`), so four a
-second would cost more of a core than all control may."""
+FEED_INTERVAL_SECONDS = 1.0
+"""States and revisions are fed as they arrive; the periodic pass only finds states
+that have expired. At 12,000 targets a pass takes 11 ms (`lycheepost bench slopes`), so
+four passes a second would exceed the CPU budget of all control work."""
 
-SOON_SECONDS = 0.01
-SMALL_FLEET = 500
-"""Targets up to which a whole pass each ``FEED_SECONDS`` costs under 1% of a core.
-With more it comes less often: signs are fed at once, and only the lapse of an old
-sign waits for it."""
+FEED_DELAY_SECONDS = 0.01
+FULL_RATE_TARGETS = 500
+"""Up to this many targets a pass every ``FEED_INTERVAL_SECONDS`` costs under 1% of a
+core. Larger fleets get fewer passes, which only delays the expiry of old states."""
 
-_UNSEEN = Incarnation("")
+_UNKNOWN_INCARNATION = Incarnation("")
 
 States = Callable[[], dict[TargetId, TargetState]]
 Incarnations = Callable[[], dict[TargetId, Incarnation]]
@@ -42,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Made:
+class _CachedView:
     """What a target's view was made of."""
 
     target: Target
@@ -61,7 +60,7 @@
     """
 
     def __init__(self) -> None:
-        self._made: dict[TargetId, _Made] = {}
+        self._cache: dict[TargetId, _CachedView] = {}
         self._targets: dict[TargetId, Target] = {}
         self._order: tuple[TargetId, ...] = ()
 
@@ -78,21 +77,23 @@
         if view.targets is not self._targets:
             self._targets = view.targets
             self._order = tuple(sorted(view.targets))
-            self._made = {
-                name: made for name, made in self._made.items() if name in view.targets
+            self._cache = {
+                name: cached
+                for name, cached in self._cache.items()
+                if name in view.targets
             }
         return tuple(
-            self._make_one(
+            self._get_or_make(
                 name,
                 view.targets[name],
                 states.get(name, TargetState.SERVING),
-                incarnations.get(name, _UNSEEN),
+                incarnations.get(name, _UNKNOWN_INCARNATION),
                 weights.get(view.targets[name].target_group, ""),
             )
             for name in self._order
         )
 
-    def _make_one(
+    def _get_or_make(
         self,
         name: TargetId,
         target: Target,
@@ -100,17 +101,17 @@
         incarnation: Incarnation,
         weights: str,
     ) -> TargetView:
-        made = self._made.get(name)
+        cached = self._cache.get(name)
         if (
-            made is not None
-            and made.target is target
-            and made.state is state
-            and made.incarnation == incarnation
-            and made.weights == weights
+            cached is not None
+            and cached.target is target
+            and cached.state is state
+            and cached.incarnation == incarnation
+            and cached.weights == weights
         ):
-            return made.view
+            return cached.view
         view = _make_view(target, state, incarnation, weights)
-        self._made[name] = _Made(target, state, incarnation, weights, view)
+        self._cache[name] = _CachedView(target, state, incarnation, weights, view)
         return view
 
 
@@ -149,8 +150,8 @@
         self._on_targets = on_targets
         self._maker = ViewMaker()
         self._last: tuple[int, tuple[TargetView, ...]] | None = None
-        self._fed_states: dict[TargetId, TargetState] = {}
-        self._soon: asyncio.TimerHandle | None = None
+        self._last_states: dict[TargetId, TargetState] = {}
+        self._pending_feed: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
@@ -163,7 +164,7 @@
 
     async def stop(self) -> None:
         """Stop feeding."""
-        for pending in (self._task, self._soon):
+        for pending in (self._task, self._pending_feed):
             if pending is not None:
                 pending.cancel()
 
@@ -173,19 +174,19 @@
         Signs of many targets come together when a rack fails or comes back;
         the moment lets one pass serve them all.
         """
-        if self._fed_states.get(target) is state or self._soon is not None:
+        if self._last_states.get(target) is state or self._pending_feed is not None:
             return
         loop = asyncio.get_running_loop()
-        self._soon = loop.call_later(SOON_SECONDS, self.feed)
+        self._pending_feed = loop.call_later(FEED_DELAY_SECONDS, self.feed)
 
     def feed(self) -> None:
         """Pass the targets on if anything about them has changed."""
-        if self._soon is not None:
-            self._soon.cancel()
-            self._soon = None
+        if self._pending_feed is not None:
+            self._pending_feed.cancel()
+            self._pending_feed = None
         view = self._get_view()
-        self._fed_states = self._get_states()
-        views = self._maker.make(view, self._fed_states, self._get_incarnations())
+        self._last_states = self._get_states()
+        views = self._maker.make(view, self._last_states, self._get_incarnations())
         # The revision counts too: a change of a customer's share alone would
         # otherwise not be in force until some target changes.
         seen = (view.configuration.revision, views)
@@ -203,6 +204,8 @@
 
     async def _run(self) -> None:
         while True:
-            n_targets = len(self._fed_states)
-            await asyncio.sleep(FEED_SECONDS * max(1.0, n_targets / SMALL_FLEET))
+            n_targets = len(self._last_states)
+            await asyncio.sleep(
+                FEED_INTERVAL_SECONDS * max(1.0, n_targets / FULL_RATE_TARGETS)
+            )
             self.feed()
--- a/lycheepost/app/fleetplace.py
+++ b/lycheepost/app/fleettopology.py
@@ -16,17 +16,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetPlace:
+class FleetTopology:
     """One daemon's place.
 
     Attributes:
         entry: The daemons that callers are told to use.
-        mates: The other entry daemons, for one of them; nobody for the others.
+        peers: The other entry daemons, for one of them; nobody for the others.
         sources: Whom it asks for what the store tells, best first.
     """
 
     entry: frozenset[DaemonId]
-    mates: tuple[DaemonId, ...]
+    peers: tuple[DaemonId, ...]
     sources: tuple[DaemonId, ...]
 
 
@@ -51,9 +51,9 @@
         return choose_entry(map(to_fleet_member, found), self.n_targets)
 
 
-def find_place(
+def find_topology(
     me: Member, members: tuple[Member, ...], entry: frozenset[DaemonId]
-) -> FleetPlace:
+) -> FleetTopology:
     """Return the place of ``me``.
 
     Args:
@@ -63,13 +63,13 @@
     """
     others = [item for item in members if item.daemon != me.daemon]
     known = [item for item in others if item.state is not MemberState.GONE]
-    mates = _mates(me, known, entry)
+    peers = _find_peers(me, known, entry)
     live = {item.daemon for item in others if item.state is MemberState.LIVE}
     sources = find_sources(to_fleet_member(me), map(to_fleet_member, known), live)
-    return FleetPlace(entry, mates, sources)
+    return FleetTopology(entry, peers, sources)
 
 
-def _mates(
+def _find_peers(
     me: Member, known: list[Member], entry: frozenset[DaemonId]
 ) -> tuple[DaemonId, ...]:
     """Return whom ``me`` tells its load.
@@ -87,7 +87,7 @@
     return FleetMember(member.daemon, member.availability_zone, member.capacity)
 
 
-class PlaceFinder:
+class TopologyTracker:
     """Finds the place of this daemon anew when a member has changed.
 
     With two hundred members it takes a millisecond, and is asked for at each exchange
@@ -101,7 +101,7 @@
     def __init__(self, members: MemberKeeper, chooser: EntryChooser) -> None:
         self._members = members
         self._chooser = chooser
-        self._place: FleetPlace | None = None
+        self._topology: FleetTopology | None = None
         self._change: int | None = None
 
     def set_targets(self, n_targets: int) -> None:
@@ -110,24 +110,24 @@
             self._chooser.n_targets = n_targets
             self._members.choose_anew()
 
-    def place(self) -> FleetPlace:
+    def topology(self) -> FleetTopology:
         """Return the place by what is known now."""
         members = self._members.members()
-        if self._place is None or self._change != self._members.n_changes:
+        if self._topology is None or self._change != self._members.n_changes:
             self._change = self._members.n_changes
-            before = self._place
+            before = self._topology
             me = self._members.me()
-            self._place = find_place(me, members, self._members.entry())
-            if self._place != before:
-                self._tell(me, self._place, len(members))
-        return self._place
+            self._topology = find_topology(me, members, self._members.entry())
+            if self._topology != before:
+                self._log_change(me, self._topology, len(members))
+        return self._topology
 
-    def _tell(self, me: Member, place: FleetPlace, n_members: int) -> None:
+    def _log_change(self, me: Member, topology: FleetTopology, n_members: int) -> None:
         _log.info(
             "fleet: place changed",
-            is_entry=me.daemon in place.entry,
-            entry=sorted(place.entry),
-            sources=place.sources,
+            is_entry=me.daemon in topology.entry,
+            entry=sorted(topology.entry),
+            sources=topology.sources,
             n_members=n_members,
             n_targets=self._chooser.n_targets,
         )
--- a/lycheepost/app/loads.py
+++ b/lycheepost/app/loads.py
@@ -16,14 +16,14 @@
 from lycheepost.peers.exchange import PeerExchange
 from lycheepost.utils.tasks import start_task
 
-TELL_SECONDS = 0.03
+REPORT_SECONDS = 0.03
 """How soon a change of our load is told. What waits at a target is bounded for all
 daemons together, so each must know within less than a prompt takes to be read."""
 
-ALONE_SECONDS = 0.4
+IDLE_SECONDS = 0.4
 """Between two looks at whether there is somebody to tell."""
 
-AGAIN_SECONDS = 0.4
+FULL_REPORT_SECONDS = 0.4
 """So often all of our load is told, also when it is unchanged: peers would take this
 daemon for dead, and one that missed a change would believe in it for good."""
 
@@ -43,14 +43,14 @@
         self._dispatcher = dispatcher
         self._exchange = exchange
         self._clock = clock
-        self._peers = PeerLoads()
+        self._peer_loads = PeerLoads()
         self._targets: tuple[TargetId, ...] = ()
-        self._mates: tuple[DaemonId, ...] = ()
-        self._told: dict[TargetId, UnderWay] = {}
-        self._told_waiting: tuple[TargetGroupId, ...] = ()
-        self._whole_seconds = float("-inf")
+        self._peers: tuple[DaemonId, ...] = ()
+        self._published: dict[TargetId, UnderWay] = {}
+        self._published_waiting: tuple[TargetGroupId, ...] = ()
+        self._full_report_seconds = float("-inf")
         self._task: asyncio.Task[None] | None = None
-        exchange.subscribe(LoadNews, self._take)
+        exchange.subscribe(LoadNews, self._receive)
 
     async def start(self) -> None:
         """Begin to tell."""
@@ -68,42 +68,42 @@
         """Follow the targets that the scheduler knows."""
         self._targets = tuple(view.target for view in views)
 
-    def set_mates(self, mates: tuple[DaemonId, ...]) -> None:
+    def set_peers(self, peers: tuple[DaemonId, ...]) -> None:
         """Follow who else is told; nobody where this daemon stands by."""
-        self._mates = mates
+        self._peers = peers
 
     def count_running(self, target: TargetId) -> int:
         """Return how many requests of this daemon and its peers run at a target."""
         own = self._dispatcher.under_way().get(target, NOTHING)
-        others = self._peers.at(target, self._clock.now_seconds())
+        others = self._peer_loads.at(target, self._clock.now_seconds())
         return own.n_running + others.n_running
 
     def observe_report(self, report: LoadReport) -> None:
         """Take a target's own word; it counts where no peer tells all of its load."""
-        is_told = self._peers.is_known(self._clock.now_seconds())
-        if not is_told or report.target not in self._targets:
+        is_reported = self._peer_loads.is_known(self._clock.now_seconds())
+        if not is_reported or report.target not in self._targets:
             self._dispatcher.observe_load(report)
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(TELL_SECONDS if self._mates else ALONE_SECONDS)
+            await asyncio.sleep(REPORT_SECONDS if self._peers else IDLE_SECONDS)
             placed = self._dispatcher.take_placed()
-            if self._mates:
-                self._tell(placed)
-                self._pass_on()
+            if self._peers:
+                self._publish(placed)
+                self._apply_peer_loads()
 
-    def _tell(self, placed: tuple[Placed, ...]) -> None:
+    def _publish(self, placed: tuple[Placed, ...]) -> None:
         loads = self._dispatcher.under_way()
         now_seconds = self._clock.now_seconds()
-        is_whole = now_seconds - self._whole_seconds > AGAIN_SECONDS
-        told = loads if is_whole else find_changes(self._told, loads)
+        is_whole = now_seconds - self._full_report_seconds > FULL_REPORT_SECONDS
+        changed = loads if is_whole else find_changes(self._published, loads)
         waiting = self._dispatcher.waiting_groups()
-        is_news = told or placed or waiting != self._told_waiting
+        is_news = changed or placed or waiting != self._published_waiting
         if not is_news and not (is_whole and loads):
             return
-        self._told, self._told_waiting = loads, waiting
+        self._published, self._published_waiting = loads, waiting
         if is_whole:
-            self._whole_seconds = now_seconds
+            self._full_report_seconds = now_seconds
         news = LoadNews(
             is_whole=is_whole,
             waiting_groups=list(waiting),
@@ -113,36 +113,36 @@
                     queued_tokens=load.queued_tokens,
                     n_running=load.n_running,
                 )
-                for target, load in told.items()
+                for target, load in changed.items()
             ],
             placed=[_to_message(item) for item in placed],
         )
-        self._exchange.send_to_each(self._mates, news)
+        self._exchange.send_to_each(self._peers, news)
 
-    def _pass_on(self) -> None:
+    def _apply_peer_loads(self) -> None:
         now_seconds = self._clock.now_seconds()
-        is_known = self._peers.is_known(now_seconds)
+        is_known = self._peer_loads.is_known(now_seconds)
         if is_known:
-            totals = self._peers.totals(now_seconds)
+            totals = self._peer_loads.totals(now_seconds)
             for target in self._targets:
                 self._dispatcher.note_others(target, totals.get(target, NOTHING))
         self._dispatcher.draw_admission(
-            lambda group: self._peers.n_waiting(group, now_seconds)
+            lambda group: self._peer_loads.n_waiting(group, now_seconds)
         )
         if is_known:
             self._dispatcher.pump()
 
-    def _take(self, news: LoadNews, sender: DaemonId) -> None:
+    def _receive(self, news: LoadNews, sender: DaemonId) -> None:
         loads = {
             TargetId(load.target): UnderWay(load.queued_tokens, load.n_running)
             for load in news.loads
         }
         now_seconds = self._clock.now_seconds()
         if news.is_whole:
-            self._peers.observe(sender, loads, now_seconds)
+            self._peer_loads.observe(sender, loads, now_seconds)
         else:
-            self._peers.observe_changes(sender, loads, now_seconds)
-        self._peers.note_waiting(sender, map(TargetGroupId, news.waiting_groups))
+            self._peer_loads.observe_changes(sender, loads, now_seconds)
+        self._peer_loads.note_waiting(sender, map(TargetGroupId, news.waiting_groups))
         for item in news.placed:
             self._dispatcher.note_placed(_from_message(item))
 
--- a/lycheepost/app/losses.py
+++ b/lycheepost/app/losses.py
@@ -22,12 +22,12 @@
         self._dispatcher = dispatcher
         self._exchange = exchange
         self._clock = clock
-        exchange.subscribe(QuarantineNotice, self._take_loss)
-        exchange.subscribe(SuspectPlaced, self._take_suspect)
-        dispatcher.on_loss(self._tell_loss)
-        dispatcher.on_suspect(self._tell_suspect)
+        exchange.subscribe(QuarantineNotice, self._receive_loss)
+        exchange.subscribe(SuspectPlaced, self._receive_suspect)
+        dispatcher.on_loss(self._publish_loss)
+        dispatcher.on_suspect(self._publish_suspect)
 
-    def _tell_loss(self, loss: LossSeen) -> None:
+    def _publish_loss(self, loss: LossSeen) -> None:
         now_seconds = self._clock.now_seconds()
         self._exchange.broadcast(
             QuarantineNotice(
@@ -39,7 +39,7 @@
             )
         )
 
-    def _take_loss(self, notice: QuarantineNotice, _sender: DaemonId) -> None:
+    def _receive_loss(self, notice: QuarantineNotice, _sender: DaemonId) -> None:
         fingerprint = BodyFingerprint(notice.fingerprint)
         if notice.is_quarantined:
             if notice.for_seconds > 0:
@@ -54,8 +54,8 @@
             now_seconds - notice.lost_ago_seconds,
         )
 
-    def _tell_suspect(self, target: TargetId) -> None:
+    def _publish_suspect(self, target: TargetId) -> None:
         self._exchange.broadcast(SuspectPlaced(target=target))
 
-    def _take_suspect(self, notice: SuspectPlaced, _sender: DaemonId) -> None:
+    def _receive_suspect(self, notice: SuspectPlaced, _sender: DaemonId) -> None:
         self._dispatcher.note_peer_suspect(TargetId(notice.target))
--- a/lycheepost/app/notices.py
+++ b/lycheepost/app/notices.py
@@ -27,11 +27,11 @@
 from lycheepost.utils.metrics import Metrics
 from lycheepost.utils.tasks import start_task
 
-AGAIN_SECONDS = 0.4
+FULL_REPORT_SECONDS = 0.4
 """So often peers are told all of it: one that has just started or missed a word must
 hear it before it sends many requests."""
 
-_FROM_ANSWER = "answer"
+_SOURCE_ANSWER = "answer"
 
 _log = structlog.get_logger(part="targets")
 
@@ -64,9 +64,9 @@
         self._clock = clock
         self._metrics = metrics
         self._targets: tuple[TargetId, ...] = ()
-        self._mates: tuple[DaemonId, ...] = ()
+        self._peers: tuple[DaemonId, ...] = ()
         self._task: asyncio.Task[None] | None = None
-        exchange.subscribe(NoticeNews, self._take)
+        exchange.subscribe(NoticeNews, self._receive)
 
     async def start(self) -> None:
         """Begin to tell."""
@@ -98,9 +98,9 @@
             "backoffs": {str(name): round(left, 3) for name, left in backoffs.items()},
         }
 
-    def set_mates(self, mates: tuple[DaemonId, ...]) -> None:
+    def set_peers(self, peers: tuple[DaemonId, ...]) -> None:
         """Follow who is told."""
-        self._mates = mates
+        self._peers = peers
 
     def set_targets(self, views: tuple[TargetView, ...]) -> None:
         """Follow the targets that there are."""
@@ -113,7 +113,7 @@
         until_seconds = self._notices.backoffs.until_seconds(target)
         return self._clock.now_seconds() < until_seconds
 
-    def note_head(
+    def note_headers(
         self, sent_to: ListedTarget, head: AnswerHead, sent_seconds: float
     ) -> None:
         """Take what the head of an answer says of its target."""
@@ -127,7 +127,7 @@
             is_sealed=head.is_sealed,
             was_not_run=head.was_not_run,
         )
-        self._follow_all(changes)
+        self._apply_all(changes)
 
     def note_call(self, sent_to: ListedTarget, notice: TargetNotice) -> None:
         """Take what the answer to a call beside the requests says of its target.
@@ -143,17 +143,17 @@
             is_sealed=False,
             was_not_run=True,
         )
-        self._follow_all(changes)
+        self._apply_all(changes)
 
-    def _follow_all(self, changes: list[NoticeChange]) -> None:
+    def _apply_all(self, changes: list[NoticeChange]) -> None:
         now_seconds = self._clock.now_seconds()
         for change in changes:
-            self._follow(change, _FROM_ANSWER)
-            self._tell_change(change, now_seconds)
+            self._apply(change, _SOURCE_ANSWER)
+            self._publish_change(change, now_seconds)
         if changes:
             self._set_gauges()
 
-    def _follow(self, change: NoticeChange, source: str) -> None:
+    def _apply(self, change: NoticeChange, source: str) -> None:
         """Hold to what a target says now."""
         match change:
             case LimitChanged(target, per_second):
@@ -190,35 +190,35 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(AGAIN_SECONDS)
+            await asyncio.sleep(FULL_REPORT_SECONDS)
             self._set_gauges()
             now_seconds = self._clock.now_seconds()
             limits = self._notices.limits.own(now_seconds)
             leaving = self._notices.leaving.among(self._targets)
             if limits or leaving:
-                self._tell(limits, leaving)
+                self._publish(limits, leaving)
 
-    def _tell_change(self, change: NoticeChange, now_seconds: float) -> None:
+    def _publish_change(self, change: NoticeChange, now_seconds: float) -> None:
         """Tell the peers of a change that concerns them too."""
         match change:
             case LimitChanged(target, _):
-                said = self._notices.limits.own(now_seconds).get(target)
-                if said is not None:
-                    self._tell({target: said}, [])
+                limit = self._notices.limits.own(now_seconds).get(target)
+                if limit is not None:
+                    self._publish({target: limit}, [])
             case IsLeaving(start):
-                self._tell({}, [start])
+                self._publish({}, [start])
 
-    def _tell(
+    def _publish(
         self, limits: dict[TargetId, SaidLimit], leaving: list[TargetStart]
     ) -> None:
         message = to_message(limits, leaving, self._clock.now_seconds())
-        self._exchange.send_to_each(self._mates, message)
+        self._exchange.send_to_each(self._peers, message)
 
-    def _take(self, message: NoticeNews, sender: DaemonId) -> None:
-        for target, said in limits_of(message, self._clock.now_seconds()):
-            if self._notices.limits.note_told(target, said):
-                self._follow(LimitChanged(target, said.per_second), sender)
+    def _receive(self, message: NoticeNews, sender: DaemonId) -> None:
+        for target, limit in limits_of(message, self._clock.now_seconds()):
+            if self._notices.limits.note_told(target, limit):
+                self._apply(LimitChanged(target, limit.per_second), sender)
         for start in leaving_of(message):
             if self._notices.leaving.note(start):
-                self._follow(IsLeaving(start), sender)
+                self._apply(IsLeaving(start), sender)
         self._set_gauges()
--- a/lycheepost/app/platformdaemon.py
+++ b/lycheepost/app/platformdaemon.py
@@ -11,14 +11,14 @@
 
 import structlog
 
+from lycheepost.app.components import Component, start_components, stop_components
 from lycheepost.app.earlysockets import EarlySockets, open_socket
 from lycheepost.app.leaveplan import LeavePlan, make_leave_plan
 from lycheepost.app.metricspage import MetricsPage
-from lycheepost.app.parts import Part, start_parts, stop_parts
 from lycheepost.app.platformbase import PlatformBase, make_base
 from lycheepost.app.platformpeers import (
     ADDRESS_SECONDS,
-    BRIEF_ADDRESS_SECONDS,
+    SHORT_ADDRESS_SECONDS,
     PlatformPeers,
     WeightsDuty,
     make_platform_peers,
@@ -26,7 +26,7 @@
 )
 from lycheepost.app.platformtraffic import (
     PlatformTraffic,
-    count_sharing,
+    count_retry_shares,
     make_key_rule,
     make_platform_traffic,
     retry_terms,
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DaemonParts:
+class DaemonComponents:
     """What a daemon on the platform is made of."""
 
     base: PlatformBase
@@ -83,7 +83,7 @@
     """One running daemon on the platform.
 
     Args:
-        made: Its parts.
+        components: Its parts.
         metrics: What is counted.
         plan: How it ends; None for the platform's time in force by then.
         sockets: Ports that listen already.
@@ -95,42 +95,42 @@
 
     def __init__(
         self,
-        made: DaemonParts,
+        components: DaemonComponents,
         metrics: ServedMetrics,
         plan: LeavePlan | None,
         sockets: EarlySockets,
         metrics_port: int,
     ) -> None:
         self.is_leaving = False
-        self._made = made
+        self._components = components
         self._plan = plan
-        self._front = made.traffic.front
-        self._parts: list[Part] = [
-            made.base.store,
-            *made.traffic.parts(),
-            made.peers.feed,
-            *made.watches,
+        self._front = components.traffic.front
+        self._lifecycle: list[Component] = [
+            components.base.store,
+            *components.traffic.components(),
+            components.peers.feed,
+            *components.watches,
             Ticker(self._tick),
-            made.settings,
-            made.peers.fleet,
-            *made.weights.parts(),
+            components.settings,
+            components.peers.fleet,
+            *components.weights.components(),
             *self._listeners(metrics, sockets, metrics_port),
         ]
 
     @property
     def store(self) -> StoreClient:
         """Return the client of the platform's store."""
-        return self._made.base.store
+        return self._components.base.store
 
     @property
     def routing(self) -> RoutingKeeper:
         """Return the configuration in force."""
-        return self._made.traffic.routing
+        return self._components.traffic.routing
 
     @property
     def watches(self) -> tuple[Watch, Watch]:
         """Return the watches of the operators' and of the targets' table."""
-        return self._made.watches
+        return self._components.watches
 
     async def start(self) -> None:
         """Start all parts.
@@ -138,27 +138,27 @@
         Raises:
             OSError: A port is taken.
         """
-        await start_parts(self._parts)
-        node = self._made.base.node
+        await start_components(self._lifecycle)
+        node = self._components.base.node
         _log.info(
             "app: serving",
-            boot=self._made.base.boot,
+            boot=self._components.base.boot,
             clients=str(node.clients),
             readiness=str(node.readiness),
             directory=str(node.directory),
-            switched_off=names_of(self._made.base.switched_off),
+            switched_off=names_of(self._components.base.switched_off),
         )
 
     async def drain(self) -> None:
         """Leave the addresses first, then finish every request in flight."""
-        grace_seconds = self._made.settings.bounds.grace_seconds
+        grace_seconds = self._components.settings.bounds.grace_seconds
         plan = self._plan or make_leave_plan(grace_seconds)
         self.is_leaving = True
         self._front.is_leaving = True
         _log.info("app: draining", n_open=self._front.n_open)
-        await self._made.weights.give_up()
-        leave = start_task(self._made.peers.fleet.drain(), "leave")
-        await asyncio.sleep(plan.take_seconds)
+        await self._components.weights.release()
+        leave = start_task(self._components.peers.fleet.drain(), "leave")
+        await asyncio.sleep(plan.accept_seconds)
         leave.cancel()
         self._front.is_closed = True
         _log.info("app: takes nothing new", n_open=self._front.n_open)
@@ -170,17 +170,17 @@
 
     async def reload(self) -> None:
         """Read the platform's settings again."""
-        self._made.settings.look()
+        self._components.settings.reload()
 
     async def stop(self) -> None:
         """Stop all parts."""
-        await stop_parts(self._parts)
+        await stop_components(self._lifecycle)
         _log.info("app: stopped")
 
     def _listeners(
         self, metrics: ServedMetrics, sockets: EarlySockets, metrics_port: int
     ) -> list[RawListener]:
-        node = self._made.base.node
+        node = self._components.base.node
         directory = Directory(self._addresses, self._address_seconds)
         page = MetricsPage(metrics, self.status)
         metrics_socket = open_socket(Endpoint(node.host, metrics_port))
@@ -196,102 +196,115 @@
             if listening is not None
         ]
 
-    def _is_fit(self) -> bool:
+    def _can_check_keys(self) -> bool:
         """Tell whether keyed requests can be served now."""
         routing = self.routing
         return routing.table is not None and may_trust_key(
-            make_key_rule(self._made.settings.bounds),
+            make_key_rule(self._components.settings.bounds),
             routing.confirmed_seconds,
-            self._made.base.clock.now_seconds(),
+            self._components.base.clock.now_seconds(),
         )
 
     def _is_ready(self) -> bool:
-        return self._is_fit() and not self.is_leaving
+        return self._can_check_keys() and not self.is_leaving
 
     def _tick(self) -> None:
         """Let time pass for targets, budgets and this daemon's own standing."""
-        members = self._made.peers.members
-        terms = retry_terms(self._made.settings.bounds, self._count_sharing())
-        self._follow_place()
-        self._made.base.store.calls.tell(self._made.base.clock.now_seconds())
-        self._made.traffic.targets.refresh()
-        self._made.traffic.dispatcher.set_retry_terms(terms)
-        self._made.traffic.dispatcher.set_sharing_limits(self._count_senders())
-        self._made.quotas.set_tolerance(self._made.settings.bounds.quota_tolerance)
+        members = self._components.peers.members
+        terms = retry_terms(
+            self._components.settings.bounds, self._count_retry_shares()
+        )
+        self._update_topology()
+        self._components.base.store.calls.tell(
+            self._components.base.clock.now_seconds()
+        )
+        self._components.traffic.targets.refresh()
+        self._components.traffic.dispatcher.set_retry_terms(terms)
+        self._components.traffic.dispatcher.set_sharing_limits(
+            self._count_limit_shares()
+        )
+        self._components.quotas.set_tolerance(
+            self._components.settings.bounds.quota_tolerance
+        )
         if self.is_leaving:
             return
         # Callers that are sent here while keys cannot be confirmed are refused, and
         # have lost one of the few tries that they make.
-        if self._is_fit():
+        if self._can_check_keys():
             members.announce_live()
         else:
             members.announce_leaving()
 
-    def _follow_place(self) -> None:
+    def _update_topology(self) -> None:
         """Do what the place of this daemon in the fleet asks for."""
-        peers, traffic = self._made.peers, self._made.traffic
-        peers.places.set_targets(traffic.targets.n_listed)
+        peers, traffic = self._components.peers, self._components.traffic
+        peers.topology_tracker.set_targets(traffic.targets.n_listed)
         if peers.members.n_lists:
             traffic.quotas.set_fleet(len(peers.members.members()))
-        traffic.follow_place(peers.members.me().daemon, peers.places.place())
+        traffic.set_topology(
+            peers.members.me().daemon, peers.topology_tracker.topology()
+        )
 
-    def _count_sharing(self) -> int:
+    def _count_retry_shares(self) -> int:
         """Return among how many daemons the fleet's repeats are divided."""
-        members, entry = self._made.peers.members, self._made.peers.members.entry()
-        return count_sharing(members.me().daemon, entry, members.n_live())
+        members, entry = (
+            self._components.peers.members,
+            self._components.peers.members.entry(),
+        )
+        return count_retry_shares(members.me().daemon, entry, members.n_live())
 
-    def _count_senders(self) -> int:
+    def _count_limit_shares(self) -> int:
         """Return among how many daemons the limits of targets are divided.
 
         All that aren't gone count. Daemons that cannot reach the store are not live,
         and go on sending requests that need no key.
         """
-        members = self._made.peers.members
+        members = self._components.peers.members
         n_daemons = self._n_daemons()
         if not members.n_lists:
             n_daemons = max(UNKNOWN_DAEMONS, n_daemons)
-        return count_sharing(members.me().daemon, members.entry(), n_daemons)
+        return count_retry_shares(members.me().daemon, members.entry(), n_daemons)
 
     def _n_daemons(self) -> int:
         """Return how many daemons the fleet has, also those that are not live."""
-        states = [member.state for member in self._made.peers.members.members()]
+        states = [member.state for member in self._components.peers.members.members()]
         return max(1, len(states) - states.count(MemberState.GONE))
 
     def _address_seconds(self) -> float:
-        members = self._made.peers.members
+        members = self._components.peers.members
         seconds = ADDRESS_SECONDS
         if is_short(len(members.entry()), self._n_daemons()):
-            seconds = BRIEF_ADDRESS_SECONDS
-        return min(seconds, self._made.settings.bounds.address_seconds)
+            seconds = SHORT_ADDRESS_SECONDS
+        return min(seconds, self._components.settings.bounds.address_seconds)
 
     def _addresses(self) -> list[str]:
-        now_seconds = self._made.base.clock.now_seconds()
-        answer = self._made.peers.members.addresses(None, now_seconds)
+        now_seconds = self._components.base.clock.now_seconds()
+        answer = self._components.peers.members.addresses(None, now_seconds)
         return [item.url for item in answer.addresses]
 
     def status(self) -> dict[str, Any]:
         """Return what this daemon believes, with ages."""
-        made = self._made
+        components = self._components
         return {
-            "daemon_id": made.base.node.daemon,
-            "boot": made.base.boot,
+            "daemon_id": components.base.node.daemon,
+            "boot": components.base.boot,
             "is_leaving": self.is_leaving,
-            "switched_off": names_of(made.base.switched_off),
+            "switched_off": names_of(components.base.switched_off),
             "n_open": self._front.n_open,
-            "configuration": self.routing.status(made.base.clock.now_seconds()),
-            "watches": [watch.status() for watch in made.watches],
-            "members": made.peers.members.status()["members"],
-            "entry": sorted(made.peers.places.place().entry),
-            "peers": made.peers.exchange.status(),
-            "feed": made.peers.feed.status(),
-            "targets": made.traffic.targets.status(),
-            "weights": made.weights.rollout.status(),
-            "duties": [made.weights.duty.status()],
-            "queues": made.traffic.dispatcher.status(),
-            "sends": made.traffic.client.status(),
-            "notices": made.traffic.notices.status(),
-            "quotas": made.quotas.status(made.base.clock.now_seconds()),
-            "store": made.base.store.status(),
+            "configuration": self.routing.status(components.base.clock.now_seconds()),
+            "watches": [watch.status() for watch in components.watches],
+            "members": components.peers.members.status()["members"],
+            "entry": sorted(components.peers.topology_tracker.topology().entry),
+            "peers": components.peers.exchange.status(),
+            "feed": components.peers.feed.status(),
+            "targets": components.traffic.targets.status(),
+            "weights": components.weights.rollout.status(),
+            "duties": [components.weights.duty.status()],
+            "queues": components.traffic.dispatcher.status(),
+            "sends": components.traffic.client.status(),
+            "notices": components.traffic.notices.status(),
+            "quotas": components.quotas.status(components.base.clock.now_seconds()),
+            "store": components.base.store.status(),
         }
 
 
@@ -340,8 +353,10 @@
     watches = _make_watches(base, peers.feed, traffic, weights, settings)
     for watch in watches:
         watch.on_first(first_reads.note)
-    made = DaemonParts(base, peers, traffic, weights, watches, settings, fleet_quotas)
-    return PlatformDaemon(made, metrics, leave_plan, sockets, metrics_port)
+    components = DaemonComponents(
+        base, peers, traffic, weights, watches, settings, fleet_quotas
+    )
+    return PlatformDaemon(components, metrics, leave_plan, sockets, metrics_port)
 
 
 def _make_watches(
--- a/lycheepost/app/platformdemo.py
+++ b/lycheepost/app/platformdemo.py
@@ -36,7 +36,7 @@
 FAULT_SHARE = 0.03
 """Share of requests that meet a fault of their server."""
 
-LEAST_SERVED_SHARE = 0.8
+MIN_SERVED_SHARE = 0.8
 """Of ten requests fewer than one meets a fault that cannot be made good."""
 
 WEIGHTS_AFTER_SHARE = 0.4
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class DemoRequest:
     """One request and the answer that is right."""
 
     kind: str
@@ -132,24 +132,24 @@
                 fleet.name_weights(2)
             if rng.random() < FAULT_SHARE:
                 faults.add(rng.choice(FAULTS))
-            group.create_task(_ask(fleet, make_asked(rng, number), rng, report))
+            group.create_task(_send(fleet, make_demo_request(rng, number), rng, report))
             await asyncio.sleep(rng.expovariate(plan.rate_per_second))
 
 
-def make_asked(rng: random.Random, number: int) -> Asked:
+def make_demo_request(rng: random.Random, number: int) -> DemoRequest:
     """Return a request of the seed's choice."""
     kind = rng.choices(("album", "title", "order", "look"), (45, 31, 19, 8))[0]
     path = f"/{kind}/{number}"
     if kind == "look":
-        return Asked(kind, "GET", path, b"", answer_text(path, b""))
+        return DemoRequest(kind, "GET", path, b"", answer_text(path, b""))
     body = f"body of request {number}".encode()
     if kind == "order":
-        return Asked(kind, "POST", path, body, answer_text(path, body))
+        return DemoRequest(kind, "POST", path, body, answer_text(path, body))
     events = b"".join(event_bytes(n, body) for n in range(1, N_EVENTS + 1))
-    return Asked(kind, "POST", path, body, events)
+    return DemoRequest(kind, "POST", path, body, events)
 
 
-def prompt_of(rng: random.Random, asked: Asked) -> dict[str, str]:
+def make_prompt_headers(rng: random.Random, asked: DemoRequest) -> dict[str, str]:
     """Return the headers that tell a request's prompt; none for a plain one."""
     if not asked.is_stream:
         return {}
@@ -161,21 +161,24 @@
     }
 
 
-async def _ask(
-    fleet: PlatformFleet, asked: Asked, rng: random.Random, report: PlatformDemoReport
+async def _send(
+    fleet: PlatformFleet,
+    asked: DemoRequest,
+    rng: random.Random,
+    report: PlatformDemoReport,
 ) -> None:
     key = rng.choice(tuple(KEYS))
-    headers = fleet.headers(key, **prompt_of(rng, asked))
+    headers = fleet.headers(key, **make_prompt_headers(rng, asked))
     index = rng.randrange(len(fleet.daemons))
     started = time.monotonic()
     answer = await fleet.ask(asked.method, asked.path, headers, asked.body, index)
     elapsed = time.monotonic() - started
-    judge(fleet, asked, headers[names.ATTEMPT_ID], answer, elapsed, report)
+    check_answer(fleet, asked, headers[names.ATTEMPT_ID], answer, elapsed, report)
 
 
-def judge(
+def check_answer(
     fleet: PlatformFleet,
-    asked: Asked,
+    asked: DemoRequest,
     attempt_id: str,
     answer: Answer,
     elapsed_seconds: float,
@@ -203,7 +206,7 @@
     """Count what was served: answers that nobody got break no other promise."""
     n_asked = sum(report.outcomes.values())
     n_served = sum(n for kind, n in report.outcomes.items() if kind.endswith("served"))
-    if n_served < LEAST_SERVED_SHARE * n_asked or not n_asked:
+    if n_served < MIN_SERVED_SHARE * n_asked or not n_asked:
         report.violations.append(f"{n_served} of {n_asked} were served")
 
 
@@ -222,7 +225,9 @@
         (ENGINES, ("/title", "/album")),
     ):
         for server in fleet.group(service):
-            strays = [run for run in server.runs if not run.path.startswith(prefixes)]
+            misplaced = [
+                run for run in server.runs if not run.path.startswith(prefixes)
+            ]
             report.violations += [
-                f"{run.attempt_id}: ran at {service}" for run in strays
+                f"{run.attempt_id}: ran at {service}" for run in misplaced
             ]
--- a/lycheepost/app/platformfleet.py
+++ b/lycheepost/app/platformfleet.py
@@ -29,7 +29,7 @@
 ENGINES = "llm"
 PLAIN = "plain"
 ZONE = AvailabilityZone("zone-a")
-PATIENCE_SECONDS = 10.0
+WAIT_TIMEOUT_SECONDS = 10.0
 POLL_SECONDS = 0.02
 FIRST_START_MS = 1_700_000_000_000
 """When the first starts of servers were, for those that state it."""
@@ -232,7 +232,7 @@
             store=Endpoint(HOST, int(self.store.url.rpartition(":")[2])),
             bounds=self._bounds,
         )
-        plan = LeavePlan(take_seconds=0.4, finish_seconds=5.0)
+        plan = LeavePlan(accept_seconds=0.4, finish_seconds=5.0)
         daemon = make_platform_daemon(
             node,
             EarlySockets(clients, readiness, directory),
@@ -246,7 +246,7 @@
     async def until(
         self,
         condition: Callable[[], Awaitable[bool]],
-        within_seconds: float = PATIENCE_SECONDS,
+        within_seconds: float = WAIT_TIMEOUT_SECONDS,
     ) -> None:
         """Wait until a condition holds; fail after a generous bound."""
         async with asyncio.timeout(within_seconds):
--- a/lycheepost/app/platformpeers.py
+++ b/lycheepost/app/platformpeers.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from lycheepost.app.components import Component
 from lycheepost.app.fleet import Fleet, Identity
-from lycheepost.app.fleetplace import EntryChooser, PlaceFinder
-from lycheepost.app.parts import Part
+from lycheepost.app.fleettopology import EntryChooser, TopologyTracker
 from lycheepost.app.platformbase import PlatformBase
 from lycheepost.app.weightsdue import WeightsDueExchange
 from lycheepost.core.ids import (
@@ -40,10 +40,10 @@
 """Links of the rings, beside those for load and for questions: enough that word of a
 target's change reaches all daemons in few steps, also when some of them are dead."""
 
-MEMBER_LOOK_SECONDS = 12.0
+MEMBER_POLL_SECONDS = 12.0
 """Peers tell of each other; the table is looked at only to find peers at all."""
 
-FLEET_LOOK_SECONDS = 2.0
+FLEET_POLL_SECONDS = 2.0
 """So often one daemon of the fleet looks at the table, however many there are: one that
 nobody has told of is found, and then told of, within some seconds."""
 
@@ -51,7 +51,7 @@
 """How long clients may keep an addresses answer. Some keep it three times as long:
 as long as a daemon that leaves goes on taking requests."""
 
-BRIEF_ADDRESS_SECONDS = 0.25
+SHORT_ADDRESS_SECONDS = 0.25
 """The same while few daemons can be named. Callers that ask four times a second cost
 each daemon little, as all of them answer."""
 
@@ -63,7 +63,7 @@
 one server; and weights that were named as their holder died are in place within the
 ten seconds that it allows, with four seconds for the change itself."""
 
-REST_MARGIN_SECONDS = 0.3
+ORDER_GAP_MARGIN_SECONDS = 0.3
 """Beyond the time between two holders' orders that the platform asks for, for an
 order that is still on its way when its holder gives the lease up."""
 
@@ -74,7 +74,7 @@
 """How long after its start a daemon knows the others. A lease of an earlier start runs
 out only after five seconds."""
 
-DUTY_WATCH_SECONDS = 0.7
+LEASE_POLL_SECONDS = 0.7
 """How often the daemons that stand ready look at the lease: a tenth of the time
 allowed, at four reads a second of the store's two thousand."""
 
@@ -84,14 +84,14 @@
     """This daemon among its peers.
 
     Attributes:
-        places: Where this daemon stands.
+        topology_tracker: Where this daemon stands.
     """
 
     members: MemberKeeper
     exchange: PeerExchange
     fleet: Fleet
     feed: SharedFeed
-    places: PlaceFinder
+    topology_tracker: TopologyTracker
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,11 +101,11 @@
     rollout: WeightsRollout
     duty: DutyRunner
 
-    def parts(self) -> list[Part]:
+    def components(self) -> list[Component]:
         """Return the parts in the order of their start."""
         return [self.rollout, self.duty]
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """Give the lease up, and begin no further change."""
         await self.duty.stop()
         await self.rollout.stop()
@@ -137,14 +137,14 @@
         base.clock,
         me,
         lambda: view,
-        MEMBER_LOOK_SECONDS,
+        MEMBER_POLL_SECONDS,
         ADDRESS_SECONDS,
         base.seed,
         names_unheard=False,
         choose_entry=chooser.choose,
-        fleet_poll_seconds=FLEET_LOOK_SECONDS,
+        fleet_poll_seconds=FLEET_POLL_SECONDS,
     )
-    places = PlaceFinder(members, chooser)
+    topology_tracker = TopologyTracker(members, chooser)
     transport = make_socket_transport(node.daemon, node.host, node.peer_ports[0])
     exchange = make_peer_exchange(
         transport,
@@ -153,8 +153,8 @@
         lambda: 0,
         PEER_LINKS,
         EXCHANGE_SECONDS,
-        lambda known: _linked(
-            places, quotas.listeners(base.clock.now_seconds()), known
+        lambda known: _members_to_link(
+            topology_tracker, quotas.listeners(base.clock.now_seconds()), known
         ),
     )
     MemberExchange(exchange, members, base.clock)
@@ -162,15 +162,15 @@
         base.store,
         exchange,
         base.clock,
-        lambda: places.place().sources,
+        lambda: topology_tracker.topology().sources,
     )
     identity = Identity(node.daemon, base.boot, node.availability_zone, node.host)
     fleet = Fleet(identity, base.store, transport, exchange, members)
-    return PlatformPeers(members, exchange, fleet, feed, places)
+    return PlatformPeers(members, exchange, fleet, feed, topology_tracker)
 
 
-def _linked(
-    places: PlaceFinder,
+def _members_to_link(
+    topology_tracker: TopologyTracker,
     quota_listeners: tuple[DaemonId, ...],
     members: tuple[Member, ...],
 ) -> tuple[Member, ...]:
@@ -179,8 +179,8 @@
     With those who share quotas longer than they are mates: a daemon that leaves goes
     on taking requests for some seconds, which must be counted.
     """
-    place = places.place()
-    names = {*place.mates, *place.sources, *quota_listeners}
+    topology = topology_tracker.topology()
+    names = {*topology.peers, *topology.sources, *quota_listeners}
     return tuple(
         member for member in members if member.daemon in names and member.peer_endpoint
     )
@@ -230,9 +230,9 @@
         daemon,
         LEASE_SECONDS,
         LEASE_MARGIN_SECONDS,
-        base.node.bounds.lease_seconds + REST_MARGIN_SECONDS,
+        base.node.bounds.lease_seconds + ORDER_GAP_MARGIN_SECONDS,
     )
-    peers.exchange.subscribe(LeaseNews, lambda news, _: _take_lease(leases, news))
+    peers.exchange.subscribe(LeaseNews, lambda news, _: _receive_lease(leases, news))
     duty = DutyRunner(
         leases,
         WEIGHTS_DUTY,
@@ -241,11 +241,11 @@
         DUTY_PERIOD_SECONDS,
         base.clock,
         base.seed,
-        DUTY_WATCH_SECONDS,
+        LEASE_POLL_SECONDS,
         rollout.last_order_seconds,
         DUTY_SETTLE_SECONDS,
-        lambda lease: _tell_lease(peers, lease, is_released=False),
-        lambda lease: _tell_lease(peers, lease, is_released=True),
+        lambda lease: _publish_lease(peers, lease, is_released=False),
+        lambda lease: _publish_lease(peers, lease, is_released=True),
     )
     return WeightsDuty(rollout, duty)
 
@@ -256,14 +256,14 @@
     return tuple(item for item in members.members() if item.daemon in entry)
 
 
-def _tell_lease(peers: PlatformPeers, lease: Lease, is_released: bool) -> None:
+def _publish_lease(peers: PlatformPeers, lease: Lease, is_released: bool) -> None:
     """Tell those who stand ready, so that they need not read the row."""
     news = LeaseNews(duty=lease.duty, version=lease.version, is_released=is_released)
-    for mate in peers.places.place().mates:
+    for mate in peers.topology_tracker.topology().peers:
         peers.exchange.send(mate, news)
 
 
-def _take_lease(leases: LeaseKeeper, news: LeaseNews) -> None:
+def _receive_lease(leases: LeaseKeeper, news: LeaseNews) -> None:
     if news.is_released:
         leases.note_released(news.duty)
     else:
--- a/lycheepost/app/platformtraffic.py
+++ b/lycheepost/app/platformtraffic.py
@@ -9,11 +9,11 @@
 from returns.result import Failure, Success
 
 from lycheepost.app.cachefollow import CacheFollower
-from lycheepost.app.fleetplace import FleetPlace
+from lycheepost.app.components import Component
+from lycheepost.app.fleettopology import FleetTopology
 from lycheepost.app.loads import LoadExchange
 from lycheepost.app.losses import LossExchange
 from lycheepost.app.notices import NoticeExchange
-from lycheepost.app.parts import Part
 from lycheepost.app.platformbase import PlatformBase
 from lycheepost.app.quotas import QuotaExchange
 from lycheepost.callers.dispatch import Dispatcher
@@ -51,18 +51,18 @@
 target that went dark takes none; a request that goes elsewhere after this time is
 still on time."""
 
-RETRY_SHARE = 0.85
+USED_RETRY_SHARE = 0.85
 """Part of the allowed repeats that is used; the rest covers what is not counted
 here, such as requests that the daemons see differently than the clients."""
 
 ENTRY_RETRY_SHARE = 0.7
 """Part of the repeats that the entry daemons of a large fleet divide among them."""
 
-FEWEST_DAEMONS = 4
+MIN_RETRY_SHARES = 4
 """Repeats are divided among at least so many: a daemon that has not yet heard of its
 peers must not take all of them."""
 
-MOST_TARGETS_A_REQUEST = 6
+MAX_TARGETS_PER_REQUEST = 6
 """Targets that one request may be sent to before it is given up; how many of them may
 run it is its route's business."""
 
@@ -92,7 +92,7 @@
     notices: NoticeExchange
     quotas: QuotaExchange
 
-    def parts(self) -> list[Part]:
+    def components(self) -> list[Component]:
         """Return the parts in the order of their start."""
         return [
             self.client,
@@ -105,13 +105,13 @@
             self.quotas,
         ]
 
-    def follow_place(self, me: DaemonId, place: FleetPlace) -> None:
+    def set_topology(self, me: DaemonId, topology: FleetTopology) -> None:
         """Follow the place of this daemon in the fleet."""
-        self.loads.set_mates(place.mates)
-        self.notices.set_mates(place.mates)
-        self.quotas.follow_place(me, place)
-        self.caches.follow_stores(follows_stores(me, place.entry))
-        self.caches.follow_engines(follows_engines(me, place.entry))
+        self.loads.set_peers(topology.peers)
+        self.notices.set_peers(topology.peers)
+        self.quotas.set_topology(me, topology)
+        self.caches.follow_stores(follows_stores(me, topology.entry))
+        self.caches.follow_engines(follows_engines(me, topology.entry))
 
 
 def make_platform_traffic(
@@ -136,7 +136,7 @@
     switched_off = base.switched_off
     settings = _scheduler_settings(switched_off)
     dispatcher = Dispatcher(Scheduler(settings, base.seed), clock)
-    dispatcher.set_retry_terms(retry_terms(get_bounds(), FEWEST_DAEMONS))
+    dispatcher.set_retry_terms(retry_terms(get_bounds(), MIN_RETRY_SHARES))
     LossExchange(dispatcher, exchange, clock)
     loads = LoadExchange(dispatcher, exchange, clock)
     fleet_quotas.set_tolerance(get_bounds().quota_tolerance)
@@ -178,8 +178,8 @@
     orders = ServerOrders(notices.note_call)
 
     def on_head(sent_to: ListedTarget, head: AnswerHead, sent_seconds: float) -> None:
-        _take_load(loads, clock, sent_to, head)
-        notices.note_head(sent_to, head, sent_seconds)
+        _report_load(loads, clock, sent_to, head)
+        notices.note_headers(sent_to, head, sent_seconds)
 
     async def is_same_start(sent_to: ListedTarget) -> bool:
         if notices.is_backed_off(sent_to.target):
@@ -223,7 +223,7 @@
     return KeyRule(bounds.revoke_seconds, bounds.is_revoke_strict)
 
 
-def count_sharing(me: DaemonId, entry: frozenset[DaemonId], n_live: int) -> int:
+def count_retry_shares(me: DaemonId, entry: frozenset[DaemonId], n_live: int) -> int:
     """Return by how much the fleet's repeats are divided for one daemon.
 
     Entry daemons share most of them. The others get few requests, but each must be
@@ -244,10 +244,10 @@
 
 def retry_terms(bounds: Bounds, n_daemons: int) -> RetryTerms:
     """Return this daemon's part of the repeats that the fleet may send."""
-    n_sharing = max(FEWEST_DAEMONS, n_daemons)
+    n_sharing = max(MIN_RETRY_SHARES, n_daemons)
     return RetryTerms(
-        share=RETRY_SHARE * bounds.retry_share,
-        burst=max(1.0, RETRY_SHARE * bounds.retry_burst / n_sharing),
+        share=USED_RETRY_SHARE * bounds.retry_share,
+        burst=max(1.0, USED_RETRY_SHARE * bounds.retry_burst / n_sharing),
         window_seconds=bounds.retry_window_seconds,
     )
 
@@ -255,7 +255,7 @@
 def _scheduler_settings(switched_off: frozenset[Mechanism]) -> SchedulerSettings:
     return SchedulerSettings(
         switched_off=switched_off,
-        max_tries=MOST_TARGETS_A_REQUEST,
+        max_tries=MAX_TARGETS_PER_REQUEST,
         admit_patience_share=ADMIT_SHARE,
         prefill_seconds_per_token=PREFILL_SECONDS_PER_TOKEN,
     )
@@ -288,7 +288,7 @@
     return False
 
 
-def _take_load(
+def _report_load(
     loads: LoadExchange, clock: Clock, sent_to: ListedTarget, head: AnswerHead
 ) -> None:
     """Pass the load that a target states on to the decisions."""
--- a/lycheepost/app/quotas.py
+++ b/lycheepost/app/quotas.py
@@ -5,7 +5,7 @@
 
 import structlog
 
-from lycheepost.app.fleetplace import FleetPlace
+from lycheepost.app.fleettopology import FleetTopology
 from lycheepost.core.clock import Clock
 from lycheepost.core.ids import CustomerId, DaemonId
 from lycheepost.core.quotas import Quota
@@ -22,10 +22,10 @@
 from lycheepost.utils.metrics import Metrics
 from lycheepost.utils.tasks import start_task
 
-REPORT_SECONDS = 1.0
+LOG_INTERVAL_SECONDS = 1.0
 """Shortest time between two lines on who is heard, and between two sets of gauges."""
 
-MOST_MEASURED = 32
+MAX_MEASURED_CUSTOMERS = 32
 """Customers with gauges of their own, the first ones of whom requests were refused:
 each name stays in the metrics for good."""
 
@@ -43,8 +43,8 @@
         exchange: The links.
         clock: The clock of the decisions.
         metrics: Where gauges go.
-        get_mates: Returns the other daemons that serve, in a fleet in which all do;
-            None where ``follow_place`` tells.
+        get_peers: Returns the other daemons that serve, in a fleet in which all do;
+            None where ``set_topology`` tells.
     """
 
     def __init__(
@@ -53,9 +53,9 @@
         exchange: PeerExchange,
         clock: Clock,
         metrics: Metrics,
-        get_mates: Callable[[], tuple[DaemonId, ...]] | None = None,
+        get_peers: Callable[[], tuple[DaemonId, ...]] | None = None,
     ) -> None:
-        self._get_mates = get_mates
+        self._get_peers = get_peers
         self._metrics = metrics
         self._measured: set[CustomerId] = set()
         self._quotas = quotas
@@ -63,10 +63,10 @@
         self._clock = clock
         self._n_share_changes = 0
         self._reported_seconds = float("-inf")
-        self._told_seconds = float("-inf")
-        self._whole_seconds = float("-inf")
+        self._published_seconds = float("-inf")
+        self._full_report_seconds = float("-inf")
         self._task: asyncio.Task[None] | None = None
-        exchange.subscribe(QuotaSpent, self._take)
+        exchange.subscribe(QuotaSpent, self._receive)
 
     async def start(self) -> None:
         """Begin to tell."""
@@ -96,14 +96,16 @@
         """Follow how many daemons have a row in the store, once it was read."""
         self._quotas.set_fleet(n_daemons)
 
-    def follow_place(self, me: DaemonId, place: FleetPlace) -> None:
+    def set_topology(self, me: DaemonId, topology: FleetTopology) -> None:
         """Follow the place of this daemon in the fleet."""
         now_seconds = self._clock.now_seconds()
-        if me in place.entry:
-            self._quotas.set_entry(place.mates, now_seconds)
+        if me in topology.entry:
+            self._quotas.set_entry(topology.peers, now_seconds)
             return
-        relays = (daemon for daemon in place.sources if daemon in place.entry)
-        self._quotas.set_standing_by(next(relays, None), len(place.entry), now_seconds)
+        relays = (daemon for daemon in topology.sources if daemon in topology.entry)
+        self._quotas.set_standing_by(
+            next(relays, None), len(topology.entry), now_seconds
+        )
 
     async def _run(self) -> None:
         while True:
@@ -119,35 +121,35 @@
                 _log.exception("quotas: one exchange failed")
 
     def _exchange_once(self, now_seconds: float) -> None:
-        if self._get_mates is not None:
-            self._quotas.set_entry(self._get_mates(), now_seconds)
-        self._tell(now_seconds)
+        if self._get_peers is not None:
+            self._quotas.set_entry(self._get_peers(), now_seconds)
+        self._publish(now_seconds)
         self._report(now_seconds)
 
-    def _tell(self, now_seconds: float) -> None:
+    def _publish(self, now_seconds: float) -> None:
         """Tell the listeners what was let through, or that this daemon lives."""
         listeners = self._quotas.listeners(now_seconds)
         if not listeners:
             return
-        is_whole = now_seconds - self._whole_seconds > WHOLE_SECONDS
+        is_whole = now_seconds - self._full_report_seconds > WHOLE_SECONDS
         news = self._quotas.news(is_whole, now_seconds)
-        is_due = now_seconds - self._told_seconds > HEARTBEAT_SECONDS
+        is_due = now_seconds - self._published_seconds > HEARTBEAT_SECONDS
         if not news.counts and not is_due:
             return
-        self._told_seconds = now_seconds
+        self._published_seconds = now_seconds
         if is_whole:
-            self._whole_seconds = now_seconds
+            self._full_report_seconds = now_seconds
         message = to_message(news)
         self._exchange.send_to_each(listeners, message)
 
     def _report(self, now_seconds: float) -> None:
         """Log and measure, at most once a second."""
-        if now_seconds - self._reported_seconds < REPORT_SECONDS:
+        if now_seconds - self._reported_seconds < LOG_INTERVAL_SECONDS:
             return
         self._reported_seconds = now_seconds
         self._log_share()
         for customer, meter in self._quotas.refused():
-            if len(self._measured) < MOST_MEASURED:
+            if len(self._measured) < MAX_MEASURED_CUSTOMERS:
                 self._measured.add(customer)
             if customer in self._measured:
                 self._metrics.gauge(f"quota_left.{customer}", meter.fleet.level)
@@ -162,7 +164,7 @@
         share = round(self._quotas.share, 3)
         _log.info("quotas: share changed", share=share, n_changes=n_changes)
 
-    def _take(self, message: QuotaSpent, sender: DaemonId) -> None:
+    def _receive(self, message: QuotaSpent, sender: DaemonId) -> None:
         news = from_message(message)
         n_left_out = len(message.customers) - len(news.counts)
         if n_left_out:
--- a/lycheepost/app/rawlistener.py
+++ b/lycheepost/app/rawlistener.py
@@ -17,10 +17,10 @@
 for so long: a client that still sends would lose the answer to a reset. It is enough
 for the largest body that operators allow at two megabytes a second."""
 
-HEAD_BYTES = 32 * 1024
+MAX_HEADER_BYTES = 32 * 1024
 """Longest line or header; twice what operators allow today."""
 
-MOST_HEADERS = 128
+MAX_HEADERS = 128
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
@@ -53,9 +53,9 @@
             access_log=None,
             keepalive_timeout=KEEP_ALIVE_SECONDS,
             lingering_time=LINGER_SECONDS,
-            max_line_size=HEAD_BYTES,
-            max_field_size=HEAD_BYTES,
-            max_headers=MOST_HEADERS,
+            max_line_size=MAX_HEADER_BYTES,
+            max_field_size=MAX_HEADER_BYTES,
+            max_headers=MAX_HEADERS,
         )
         self._runner = web.ServerRunner(server, shutdown_timeout=0.1)
         await self._runner.setup()
--- a/lycheepost/app/run.py
+++ b/lycheepost/app/run.py
@@ -93,8 +93,8 @@
     application: Application, signals: "asyncio.Queue[signal.Signals]"
 ) -> None:
     drain = asyncio.create_task(application.drain())
-    second = asyncio.create_task(_wait_to_stop(application, signals))
-    await asyncio.wait({drain, second}, return_when=asyncio.FIRST_COMPLETED)
-    for task in (drain, second):
+    second_signal = asyncio.create_task(_wait_to_stop(application, signals))
+    await asyncio.wait({drain, second_signal}, return_when=asyncio.FIRST_COMPLETED)
+    for task in (drain, second_signal):
         task.cancel()
-    await asyncio.gather(drain, second, return_exceptions=True)
+    await asyncio.gather(drain, second_signal, return_exceptions=True)
--- a/lycheepost/app/settings.py
+++ b/lycheepost/app/settings.py
@@ -74,7 +74,7 @@
     return [
         *_check_lease(settings),
         *_check_orders(settings),
-        *_check_patience(settings),
+        *_check_first_token_timeout(settings),
         *_check_queues(settings),
         *_check_ports(settings),
         *_check_peer_keys(settings),
@@ -111,7 +111,7 @@
     ]
 
 
-def _check_patience(settings: Settings) -> list[Fault]:
+def _check_first_token_timeout(settings: Settings) -> list[Fault]:
     limits = settings.limits
     if limits.default_patience_seconds <= limits.max_patience_seconds:
         return []
--- a/lycheepost/app/settingswatch.py
+++ b/lycheepost/app/settingswatch.py
@@ -17,7 +17,7 @@
 from lycheepost.platform.settings import Bounds, NodeSettings, read_node_settings
 from lycheepost.utils.tasks import start_task
 
-LOOK_SECONDS = 2.0
+POLL_SECONDS = 2.0
 """The file is small, and a look costs one question for its time of change."""
 
 _log = structlog.get_logger(part="settings")
@@ -38,7 +38,7 @@
         self.bounds: Bounds = node.bounds
         self._node = node
         self._path = path
-        self._changed_ns = self._look_time()
+        self._read_modified_ns = self._modified_ns()
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
@@ -53,19 +53,19 @@
         if self._task is not None:
             self._task.cancel()
 
-    def look(self) -> None:
+    def reload(self) -> None:
         """Read the file and follow what has changed."""
         if self._path is None:
             return
-        self._changed_ns = self._look_time()
+        self._read_modified_ns = self._modified_ns()
         match read_node_settings(self._path):
             case Success(node):
-                self._follow(node)
+                self._apply(node)
             case Failure(error):
                 faults = list(error.faults)
                 _log.error("settings: kept", reason=error.reason, faults=faults)
 
-    def _follow(self, node: NodeSettings) -> None:
+    def _apply(self, node: NodeSettings) -> None:
         changed = [
             item.name
             for item in dataclasses.fields(node)
@@ -78,7 +78,7 @@
         self.bounds = node.bounds
         _log.info("settings: read", changed=changed, at_next_start=at_next_start)
 
-    def _look_time(self) -> int:
+    def _modified_ns(self) -> int:
         if self._path is None:
             return 0
         try:
@@ -88,6 +88,6 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            if self._look_time() != self._changed_ns:
-                self.look()
+            await asyncio.sleep(POLL_SECONDS)
+            if self._modified_ns() != self._read_modified_ns:
+                self.reload()
--- a/lycheepost/app/slopes.py
+++ b/lycheepost/app/slopes.py
@@ -25,7 +25,7 @@
 from lycheepost.state.view import ConfigurationView, make_view
 
 
-class _Fed:
+class _FeedFixture:
     """A feed over a scheduler, with a view that can be replaced."""
 
     def __init__(self, n_targets: int) -> None:
@@ -56,19 +56,19 @@
 
 
 async def _measure() -> list[Slope]:
-    look, change, tick, memory = {}, {}, {}, {}
+    poll, change, tick, memory = {}, {}, {}, {}
     now_seconds = SystemClock().now_seconds()
     for n_targets in N_TARGETS:
-        fed = _Fed(n_targets)
-        look[n_targets] = 1000 * time_seconds(fed.feed.feed)
-        change[n_targets] = 1000 * time_seconds(fed.change)
+        fixture = _FeedFixture(n_targets)
+        poll[n_targets] = 1000 * time_seconds(fixture.feed.feed)
+        change[n_targets] = 1000 * time_seconds(fixture.change)
         tick[n_targets] = 1e6 * time_seconds(
-            partial(fed.scheduler.tick, now_seconds), 50
+            partial(fixture.scheduler.tick, now_seconds), 50
         )
-        memory[n_targets] = allocated_megabytes(partial(_Fed, n_targets))
+        memory[n_targets] = allocated_megabytes(partial(_FeedFixture, n_targets))
     size = "targets"
     return [
-        fit_slope("target feed", "one look, milliseconds", size, look, 12_000),
+        fit_slope("target feed", "one look, milliseconds", size, poll, 12_000),
         fit_slope("target feed", "one change, milliseconds", size, change, 12_000),
         fit_slope("scheduler", "one tick, microseconds", size, tick, 12_000),
         fit_slope(
--- a/lycheepost/app/traffic.py
+++ b/lycheepost/app/traffic.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from lycheepost.app.components import Component
 from lycheepost.app.feed import TargetFeed
 from lycheepost.app.losses import LossExchange
-from lycheepost.app.parts import Part
 from lycheepost.app.quotas import QuotaExchange
 from lycheepost.callers.deps import CallerDeps
 from lycheepost.callers.dispatch import Dispatcher
@@ -53,12 +53,12 @@
 from lycheepost.targets.service import ServiceClient, make_service_client
 from lycheepost.utils.metrics import Metrics
 
-UNREACHABLE_SECONDS = 2.0
+CONNECT_FAILURE_SECONDS = 2.0
 """A target that refused a connection gets no new work for this long; its health
 answers tell meanwhile whether it is back."""
 
 
-SAME_TARGET_SECONDS = 0.5
+INCARNATION_TIMEOUT_SECONDS = 0.5
 """An engine answers for its health in milliseconds, or it is in trouble."""
 
 
@@ -84,7 +84,7 @@
     hot: HotPrefixes
     quotas: QuotaExchange
 
-    def parts(self) -> list[Part]:
+    def components(self) -> list[Component]:
         """Return the parts in the order in which to start them."""
         return [
             self.engines,
@@ -171,7 +171,9 @@
         feed.note_state(target, state.members.target_state(target))
 
     def on_unreachable(target: TargetId) -> None:
-        sign = TargetSign(SignSource.CONNECTION, TargetState.GONE, UNREACHABLE_SECONDS)
+        sign = TargetSign(
+            SignSource.CONNECTION, TargetState.GONE, CONNECT_FAILURE_SECONDS
+        )
         state.members.observe_target(target, sign, clock.now_seconds())
         feed.feed()
         observer.recheck(target)
@@ -181,7 +183,7 @@
         if configured is None or not boot_id:
             return False
         try:
-            async with asyncio.timeout(SAME_TARGET_SECONDS):
+            async with asyncio.timeout(INCARNATION_TIMEOUT_SECONDS):
                 health = await control.read(f"{configured.url}/health", EngineHealth)
         except TimeoutError:
             return False
--- a/lycheepost/app/weightsdue.py
+++ b/lycheepost/app/weightsdue.py
@@ -16,10 +16,10 @@
         self._exchange = exchange
         self._targets = targets
         self._clock = clock
-        exchange.subscribe(PeerHello, self._tell)
-        exchange.subscribe(WeightsDue, self._take)
+        exchange.subscribe(PeerHello, self._send_due)
+        exchange.subscribe(WeightsDue, self._receive)
 
-    def _tell(self, _hello: PeerHello, sender: DaemonId) -> None:
+    def _send_due(self, _hello: PeerHello, sender: DaemonId) -> None:
         now_seconds = self._clock.now_seconds()
         for model, versions in self._targets.named_weights().items():
             for named in versions:
@@ -30,5 +30,5 @@
                 )
                 self._exchange.send(sender, due)
 
-    def _take(self, due: WeightsDue, _sender: DaemonId) -> None:
+    def _receive(self, due: WeightsDue, _sender: DaemonId) -> None:
         self._targets.note_named(ModelId(due.model), due.version, due.old_for_seconds)
--- a/tools/faultsoak.py
+++ b/tools/faultsoak.py
@@ -34,9 +34,9 @@
 from lycheepost.app.platformdemo import (
     PlatformDemoReport,
     audit_runs,
-    judge,
-    make_asked,
-    prompt_of,
+    check_answer,
+    make_demo_request,
+    make_prompt_headers,
 )
 from lycheepost.app.platformfleet import KEYS, Answer, make_configuration
 from lycheepost.platform import headers as names
@@ -252,9 +252,9 @@
 async def ask(run: SoakRun, number: int) -> None:
     """Send one request through one daemon, and judge its answer."""
     fleet = run.fleet
-    asked = make_asked(run.rng, number)
+    asked = make_demo_request(run.rng, number)
     key = run.rng.choice((*KEYS, LOST_KEY))
-    headers = fleet.headers(key, **prompt_of(run.rng, asked))
+    headers = fleet.headers(key, **make_prompt_headers(run.rng, asked))
     attempt_id = headers[names.ATTEMPT_ID]
     index = run.rng.randrange(len(fleet.processes))
     started_seconds = time.monotonic()
@@ -273,7 +273,7 @@
     elapsed_seconds = time.monotonic() - started_seconds
     if answer.status == 200 and answer.is_whole:
         run.words.handed_on_seconds[attempt_id] = time.monotonic()
-    judge(fleet, asked, attempt_id, answer, elapsed_seconds, run.report)
+    check_answer(fleet, asked, attempt_id, answer, elapsed_seconds, run.report)
     if answer.status in _NOT_RUN and names.SEAL not in answer.headers:
         run.refused.add(attempt_id)
 
