--- a/features/app/steps/quotanews_steps.py
+++ b/features/app/steps/quotanews_steps.py
@@ -16,35 +16,35 @@
 CUSTOMER = CustomerId("one")
 PEER = DaemonId("peer")
 OLD_SECONDS = -1e6
-"""A start long ago: the daemon has its whole burst."""
+"""A start time long ago, so that the daemon has the full burst."""
 
 
-@given("a daemon that has let through {spent:d} of {burst:d} tokens of a customer")
+@given("a daemon that has admitted {spent:d} of {burst:d} tokens of a customer")
 def step_daemon(context, spent, burst):
     quotas = FleetQuotas(1, OLD_SECONDS)
     quota = Quota(QuotaUnit.TOKENS, 1.0, burst, 1.0)
     quotas.set_quotas({CUSTOMER: quota}, 0.0)
     quotas.set_entry([PEER], 0.0)
-    # The peer has spoken before: what it says next is counted in full.
+    # The peer has reported before, so its next report is counted in full.
     context.peers = mock.Mock()
     context.clock = mock.Mock(now_seconds=lambda: 0.0)
     context.exchange = QuotaExchange(quotas, context.peers, context.clock, mock.Mock())
     context.quotas = quotas
-    tell(context, 0.0)
+    report(context, 0.0)
     assert quotas.take(CUSTOMER, float(spent), 0.0) is None
 
 
-def tell(context, spent_units):
+def report(context, spent_units):
     [(kind, take)] = [call.args for call in context.peers.subscribe.call_args_list]
     assert kind is QuotaSpent
     count = CustomerSpent(customer=CUSTOMER, spent_units=spent_units, left_units=0.0)
     take(QuotaSpent(start=1, is_entry=True, customers=[count]), PEER)
 
 
-@when("a peer tells of {count} tokens that it let through")
-def step_tell(context, count):
+@when("a peer reports {count} admitted tokens")
+def step_report(context, count):
     with capture_logs() as context.lines:
-        tell(context, float(count))
+        report(context, float(count))
 
 
 @then("the daemon still has {left:d} tokens left")
@@ -52,19 +52,19 @@
     assert context.quotas.left(CUSTOMER) == left, context.quotas.left(CUSTOMER)
 
 
-@then("the log tells of {n} count that was left out")
+@then("the log reports {n} ignored count")
 def step_log(context, n):
-    found = [line["n"] for line in context.lines if "left out" in line["event"]]
+    found = [line["n"] for line in context.lines if "counts ignored" in line["event"]]
     assert found == ([] if n == "no" else [int(n)]), context.lines
 
 
 @when("the first message to the peer fails and {seconds:d} s go by")
 def step_fail(context, seconds):
-    context.n_told = 0
+    context.n_sent = 0
 
     def send_to_each(_daemons, _message):
-        context.n_told += 1
-        if context.n_told == 1:
+        context.n_sent += 1
+        if context.n_sent == 1:
             raise OSError("no socket")
 
     context.peers.send_to_each = send_to_each
@@ -81,12 +81,12 @@
         run_virtual(run())
 
 
-@then("the peer was told {least:d} times or more after that")
-def step_told(context, least):
-    assert context.n_told - 1 >= least, context.n_told
+@then("the peer got {least:d} or more messages after that")
+def step_messages(context, least):
+    assert context.n_sent - 1 >= least, context.n_sent
 
 
-@then("the log tells of {n:d} exchange that failed")
+@then("the log reports {n:d} failed exchange")
 def step_failed(context, n):
     found = [line for line in context.lines if "exchange failed" in line["event"]]
     assert len(found) == n, context.lines
--- a/features/platform/steps/fleet_steps.py
+++ b/features/platform/steps/fleet_steps.py
@@ -119,26 +119,26 @@
     context.loop.run_until_complete(deployment.until(is_complete))
 
 
-def name_weights(context, version):
-    context.deployment.name_weights(version)
+def publish_weights(context, version):
+    context.deployment.publish_weights(version)
 
 
 @when("version {version:d} of the weights is named")
 def step_named(context, version):
-    name_weights(context, version)
+    publish_weights(context, version)
 
 
 @when("versions 2, 3 and 4 of the weights are named at once")
 def step_named_three(context):
     for version in (2, 3, 4):
-        name_weights(context, version)
+        publish_weights(context, version)
 
 
 @when("version {version:d} of the weights is named while order answers are lost")
 def step_named_lost(context, version):
     for server in context.deployment.group("llm"):
         server.loses_order_answers = True
-    name_weights(context, version)
+    publish_weights(context, version)
 
 
 @then("all engines soon hold version {version:d}")
--- a/features/platform/steps/start_steps.py
+++ b/features/platform/steps/start_steps.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from behave import given, then, when
-from fleet_steps import name_weights
+from fleet_steps import publish_weights
 from request_steps import ask, start
 
 from lycheepost.platform.models.serverface import CrashAndReturn
@@ -73,7 +73,7 @@
 def step_dies_changing(context, version):
     server = context.deployment.group("llm")[0]
     server.state.load_seconds = SLOW_LOAD_SECONDS
-    name_weights(context, version)
+    publish_weights(context, version)
 
     async def die():
         async def is_changing():
--- a/lycheepost/app/__init__.py
+++ b/lycheepost/app/__init__.py
@@ -1,1 +1,1 @@
-"""The application object and its life-cycle hooks."""
+"""Wires the components of a daemon together and runs their life cycle."""
--- a/lycheepost/app/cachefollow.py
+++ b/lycheepost/app/cachefollow.py
@@ -1,4 +1,4 @@
-"""Lets the decisions know what engines and stores keep of prompts' KV cache."""
+"""Passes KV-cache events of engines and KV stores to the scheduler."""
 
 from lycheepost.callers.dispatch import Dispatcher
 from lycheepost.core.ids import Incarnation, TargetId
@@ -11,17 +11,18 @@
 
 
 class CacheFollower:
-    """Follows the cache events of engines and stores.
+    """Subscribes to the cache events of engines and KV stores.
 
-    A daemon sends only its own part of the traffic; what the other daemons' requests
-    put into a cache, or drove out of it, it learns from the events.
+    A daemon sends only its own part of the traffic. The events report what requests
+    of other daemons added to a cache or evicted from it.
 
     Args:
-        port: Asks for events.
-        dispatcher: Places requests by what engines keep.
-        targets: The engines there are.
-        copies: Decides what is sent to stores.
-        may_follow_engines: Engines' events are followed, and not only those of stores.
+        port: Requests events.
+        dispatcher: Places requests by the cached prefixes of engines.
+        targets: The listed engines.
+        copies: Decides what is copied to KV stores.
+        may_follow_engines: Whether events of engines are followed as well as those of
+            stores.
     """
 
     def __init__(
@@ -43,45 +44,45 @@
         self._listed: frozenset[TargetId] = frozenset()
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start following events."""
         await self._watch.start()
 
     async def drain(self) -> None:
-        """Go on: requests are still placed."""
+        """Do nothing: requests are still placed during the drain."""
 
     async def stop(self) -> None:
-        """Stop following."""
+        """Stop following events."""
         await self._watch.stop()
 
     def set_table(self, table: RouteTable) -> None:
-        """Follow the route table: it says which targets are engines."""
+        """Set the route table, which says which target groups are engines."""
         self._table = table
         self.refresh()
 
     def set_targets(self, views: tuple[TargetView, ...]) -> None:
-        """Follow the engines that there are now."""
+        """Set the current targets."""
         self._listed = frozenset(view.target for view in views)
         self.refresh()
 
     def follow_engines(self, is_follower: bool) -> None:
-        """Follow the engines, or leave that to other daemons.
+        """Set whether this daemon follows the engines.
 
-        An engine holds a few of these questions at a time and refuses the others.
-        Were all daemons of a large fleet to ask all engines, most of what they and
-        the engines do would be that.
+        An engine accepts only a few event requests at a time and refuses the others.
+        If all daemons of a large fleet polled all engines, polling would dominate the
+        load of both.
         """
         if is_follower != self._follows_engines:
             self._follows_engines = is_follower
             self.refresh()
 
     def follow_stores(self, is_follower: bool) -> None:
-        """Follow the KV stores, or leave that to other daemons."""
+        """Set whether this daemon follows the KV stores."""
         if is_follower != self._follows_stores:
             self._follows_stores = is_follower
             self.refresh()
 
     def refresh(self) -> None:
-        """Follow the engines and stores that there are now."""
+        """Update the set of followed engines and stores."""
         if self._table is None:
             return
         stores: list[str] = []
@@ -111,5 +112,5 @@
 
 
 def _store_source(address: str) -> CacheSource:
-    """Return a store as a source; its epoch alone tells its starts apart."""
+    """Return a store as a source; its starts differ by their epoch only."""
     return CacheSource(None, Incarnation(address), address)
--- a/lycheepost/app/capacity.py
+++ b/lycheepost/app/capacity.py
@@ -1,4 +1,4 @@
-"""The capacity duty of one daemon, joined to its shared state and its targets."""
+"""Builds the capacity duty of a daemon from its shared state and target clients."""
 
 from lycheepost.app.platform import Platform
 from lycheepost.core.clock import Clock
@@ -26,9 +26,9 @@
     hot: HotPrefixes,
     clock: Clock,
 ) -> CapacityRunner:
-    """Return the part that carries out capacity intents.
+    """Return the component that carries out capacity intents.
 
-    The control client is a part of its own and is started before this one.
+    The control client is a separate component and must be started first.
     """
     me = state.members.me().daemon
     deps = CapacityDeps(
--- a/lycheepost/app/components.py
+++ b/lycheepost/app/components.py
@@ -1,7 +1,7 @@
-"""Parts of the daemon and their life cycle.
+"""Components of the daemon and their life cycle.
 
-A part owns its sockets, tasks and state. The application starts parts in order,
-so that each finds below it what it needs, and drains and stops them in reverse.
+A component owns its sockets, tasks and state. The application starts components in
+dependency order, and drains and stops them in reverse order.
 """
 
 import asyncio
@@ -10,21 +10,21 @@
 import structlog
 
 STOP_SECONDS = 5.0
-"""A part that cannot stop by then is left behind, so that a daemon that is told
-to stop does stop."""
+"""Time-out for stopping one component. A component that exceeds it is abandoned, so
+that it can't block the shutdown of the daemon."""
 
 _log = structlog.get_logger(part="app")
 
 
 class Component(Protocol):
-    """The life-cycle hooks of one part."""
+    """The life-cycle hooks of one component."""
 
     async def start(self) -> None:
         """Open sockets and start tasks."""
         ...
 
     async def drain(self) -> None:
-        """Finish what is in flight and take nothing new."""
+        """Finish the work in flight and accept no new work."""
         ...
 
     async def stop(self) -> None:
@@ -33,7 +33,7 @@
 
 
 async def start_components(components: list[Component]) -> None:
-    """Start parts in order; on a failure stop those that have started.
+    """Start components in order; on a failure stop those already started.
 
     Raises:
         OSError: A socket could not be opened.
@@ -49,7 +49,7 @@
 
 
 async def drain_components(components: list[Component], within_seconds: float) -> bool:
-    """Drain parts in reverse order; False when the time ran out."""
+    """Drain components in reverse order; return False on a time-out."""
     try:
         async with asyncio.timeout(within_seconds):
             for component in reversed(components):
@@ -61,10 +61,12 @@
 
 
 async def stop_components(components: list[Component]) -> None:
-    """Stop parts in reverse order; a fault of one does not keep the others."""
+    """Stop components in reverse order; errors of one don't affect the others."""
     for component in reversed(components):
         try:
             async with asyncio.timeout(STOP_SECONDS):
                 await component.stop()
         except Exception:
-            _log.exception("app: a part did not stop", name=type(component).__name__)
+            _log.exception(
+                "app: a component did not stop", name=type(component).__name__
+            )
--- a/lycheepost/app/daemon.py
+++ b/lycheepost/app/daemon.py
@@ -1,7 +1,7 @@
-"""The daemon: joins its parts, starts them in order, drains and stops them.
+"""The daemon: wires its components together and runs their life cycle.
 
-``make_daemon`` joins the parts; ``Daemon`` only runs their life cycle. Nothing
-is decided here.
+``make_daemon`` builds the components; ``Daemon`` starts, drains and stops them. This
+module makes no routing decisions.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
 from lycheepost.utils.metrics import make_metrics
 
 _START_ID_BITS = 48
-"""Enough that two starts of a daemon never have the same number."""
+"""Large enough that two starts of a daemon practically never share a number."""
 
 _log = structlog.get_logger(part="app")
 
@@ -52,10 +52,10 @@
 
     Attributes:
         state: The shared state: configuration, members, claims, leases.
-        traffic: The parts that carry requests.
-        callers: The callers' listener; tells the port.
-        operators: The operators' listener; tells the port.
-        status: The answer of ``/admin/status``.
+        traffic: The components that carry requests.
+        callers: The listener for callers; knows its port.
+        operators: The listener for operators; knows its port.
+        status: Returns the response body of ``/admin/status``.
     """
 
     def __init__(
@@ -78,19 +78,19 @@
 
     @property
     def callers_url(self) -> str:
-        """Return the base address for callers."""
+        """Return the base URL for callers."""
         listeners = self._settings.listeners
         host = listeners.advertised_host or listeners.host
         return f"{self.callers.scheme}://{host}:{self.callers.port}"
 
     async def start(self) -> None:
-        """Start all parts; when it returns the daemon serves.
+        """Start all components; the daemon serves once this returns.
 
         Raises:
-            OSError: A port is taken.
+            OSError: A port is in use.
         """
         await start_components(self._components)
-        # Only now are the ports known where the settings leave them open.
+        # Ports that the settings leave open are known only after the start.
         self.state.members.set_callers_url(self.callers_url)
         _log.info(
             "app: serving",
@@ -99,10 +99,10 @@
         )
 
     async def drain(self) -> None:
-        """Leave the addresses first, then finish every request in flight.
+        """Leave the published addresses, then finish all requests in flight.
 
-        Callers keep an addresses answer for a while, so for that time new
-        requests are still served; then they are refused as not run, with the
+        Callers cache the addresses response, so new requests are still served for
+        ``announce_leaving_seconds``. After that they are refused as not run, with the
         advice to use another address.
         """
         daemon = self._settings.daemon
@@ -115,11 +115,13 @@
             async with asyncio.timeout(daemon.drain_seconds):
                 await front.drain()
         except TimeoutError:
-            _log.warning("app: requests outlived the drain", n_open=front.n_open)
+            _log.warning(
+                "app: drain timed out with requests in flight", n_open=front.n_open
+            )
         await drain_components(self._components, daemon.drain_seconds)
 
     async def stop(self) -> None:
-        """Stop all parts."""
+        """Stop all components."""
         await stop_components(self._components)
         _log.info("app: stopped")
 
@@ -129,13 +131,13 @@
     platform: Platform | None = None,
     clock: Clock | None = None,
 ) -> Daemon:
-    """Join the parts of one daemon; nothing is started yet.
+    """Build the components of one daemon without starting them.
 
     Args:
-        settings: Checked settings.
-        platform: The platform's services; HTTP clients of the settings' when
-            None.
-        clock: Tells the time; this machine's when None.
+        settings: Validated settings.
+        platform: Clients of the platform's services; None for HTTP clients as
+            described by the settings.
+        clock: The clock; None for the system clock.
     """
     clock = clock or SystemClock()
     platform = platform or make_http_platform(settings)
@@ -184,14 +186,14 @@
 
 
 def make_fleet_quotas(clock: Clock) -> FleetQuotas:
-    """Return the quotas of a daemon that starts now."""
+    """Return the quotas of a newly started daemon."""
     return FleetQuotas(secrets.randbits(_START_ID_BITS), clock.now_seconds())
 
 
 def _quota_peers(
     quotas: FleetQuotas, members: tuple[Member, ...], clock: Clock
 ) -> tuple[Member, ...]:
-    """Return the members with whom quotas are shared, while there are any quotas."""
+    """Return the members to exchange quota counts with; none without quotas."""
     if not quotas.has_quotas:
         return ()
     names = set(quotas.listeners(clock.now_seconds()))
@@ -203,7 +205,7 @@
 
 
 def make_transport(settings: Settings) -> SocketTransport:
-    """Return the peer links that the settings describe."""
+    """Return the peer transport described by the settings."""
     listeners = settings.listeners
     return make_socket_transport(
         DaemonId(settings.daemon.daemon_id),
@@ -224,7 +226,7 @@
 def make_status(
     settings: Settings, state: SharedState, traffic: Traffic, history: HistoryKeeper
 ) -> dict[str, Any]:
-    """Return the answer of ``/admin/status``; it names no customer's data."""
+    """Return the response of ``/admin/status``, which holds no customer data."""
     members = state.members.status()
     return {
         "daemon_id": settings.daemon.daemon_id,
--- a/lycheepost/app/demo.py
+++ b/lycheepost/app/demo.py
@@ -1,8 +1,8 @@
-"""The demo: a whole deployment in one process, driven and audited.
+"""The demo: a whole deployment in one process, with generated load and an audit.
 
-Stand-ins for everything outside and three daemons in two availability zones
-run as tasks on loopback ports. Nothing here is a shortcut: daemons, stand-ins
-and callers speak to each other over HTTP as separate machines would.
+Stand-ins for all external services and three daemons in two availability zones run
+as tasks on loopback ports. Daemons, stand-ins and callers communicate over HTTP as
+they would on separate machines.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 N_DAEMONS = 3
 DEFAULT_SECONDS = 20.0
 RATE_PER_SECOND = 25.0
-"""Keeps four stand-in engines busy without filling them, on one core that also
+"""Keeps four stand-in engines busy without saturating them, on one core that also
 runs the daemons and the callers."""
 KILL_AFTER_SHARE = 0.4
 ORDERS_PATH = "orders"
@@ -45,12 +45,12 @@
 
 @dataclass(frozen=True)
 class DemoPlan:
-    """What the demo shall do.
+    """Parameters of a demo run.
 
     Attributes:
         n_seconds: How long traffic is sent.
-        kills_engine: Crash one engine while traffic runs.
-        settings: Replaces limits, objectives and streams of the daemons; None
+        kills_engine: Whether one engine crashes while traffic runs.
+        settings: Overrides limits, objectives and streams of the daemons; None
             for the defaults.
     """
 
@@ -66,7 +66,7 @@
     """A running deployment.
 
     Attributes:
-        operator_key: Opens the operators' API of each daemon.
+        operator_key: Key for the operators' API of each daemon.
     """
 
     standins: StandinFleet
@@ -74,11 +74,11 @@
     operator_key: str
 
     def base_urls(self) -> tuple[str, ...]:
-        """Return where callers and operators connect."""
+        """Return the base URLs for callers and operators."""
         return tuple(daemon.callers_url for daemon in self.daemons)
 
     def describe(self) -> dict[str, Any]:
-        """Return what a caller needs to use the deployment."""
+        """Return the addresses, keys, models and services that a caller needs."""
         shape = self.standins.shape
         return {
             "base_urls": list(self.base_urls()),
@@ -90,7 +90,7 @@
 
 
 def demo_shape() -> FleetShape:
-    """Return the demo's deployment: small, of the kiosks' kind."""
+    """Return the shape of the demo deployment: small, with kiosk customers."""
     return FleetShape(
         availability_zones=ZONES,
         engine_group="caption-llm",
@@ -107,13 +107,13 @@
     operator_key: str,
     base: Settings | None,
 ) -> Settings:
-    """Return the settings of the demo's next daemon.
+    """Return the settings of the next daemon of the demo.
 
     Args:
-        standins: What the daemon talks to.
-        seeds: Peers that run already.
-        operator_key: Opens its operators' API.
-        base: Replaces limits, objectives, streams, targets and the timing of
+        standins: The stand-ins that the daemon connects to.
+        seeds: Peers that are already running.
+        operator_key: Key for the operators' API.
+        base: Overrides limits, objectives, streams, targets and the timing of
             operators' changes.
     """
     index = len(seeds)
@@ -176,7 +176,7 @@
 
 
 async def _commit_configuration(daemons: list[Daemon], standins: StandinFleet) -> None:
-    """Accept the first configuration and wait until it is in force everywhere."""
+    """Commit the first configuration and wait until every daemon uses it."""
     first = daemons[0].state.revisions
     await first.commit(Revision(0), standins.configuration())
     async with asyncio.timeout(10):
@@ -190,7 +190,7 @@
     plan: DemoPlan,
     on_progress: Callable[[Progress], None] | None = None,
 ) -> LoadReport:
-    """Send mixed traffic to a running deployment and audit every answer."""
+    """Send mixed traffic to a running deployment and audit every response."""
     shape = fleet.standins.shape
     load = LoadPlan(
         addresses=fleet.base_urls(),
@@ -224,5 +224,5 @@
 
 
 def encode_description(fleet: DemoFleet) -> str:
-    """Return the first line of ``--json`` output."""
+    """Return the first line of the ``--json`` output."""
     return json.dumps(msgspec.to_builtins(fleet.describe()))
--- a/lycheepost/app/earlysockets.py
+++ b/lycheepost/app/earlysockets.py
@@ -1,10 +1,9 @@
-"""Listen before anything else is loaded.
+"""Opens the listening sockets before the other modules are loaded.
 
-The failure: a process that was killed is back after half a second, most of which it
-spends on loading its libraries. Connections that come meanwhile are refused at once,
-and clients that may try twice have used up both tries in a few milliseconds. With
-the ports open from the first moment they wait in the queue of the socket instead,
-and are served as soon as the daemon runs.
+A killed process takes half a second to restart, most of it for loading libraries.
+Connections in that time would be refused at once, and clients that may try twice would
+use up both attempts within a few milliseconds. With the ports open from the start,
+connections wait in the accept queue until the daemon serves.
 """
 
 import socket
@@ -13,13 +12,13 @@
 from lycheepost.platform.settings import Endpoint, NodeSettings
 
 BACKLOG = 1024
-"""Connections of a whole burst; beyond it an opening is dropped and sent again only
-after a second."""
+"""Length of the accept queue, enough for a burst of connections. When it is full, the
+SYN is dropped and retransmitted only after a second."""
 
 
 @dataclass(frozen=True, slots=True)
 class EarlySockets:
-    """Listening sockets by what is served on them; None where nothing is."""
+    """Listening sockets by the service on them; None for a disabled service."""
 
     clients: socket.socket | None
     readiness: socket.socket | None
@@ -27,10 +26,10 @@
 
 
 def open_socket(endpoint: Endpoint) -> socket.socket:
-    """Return a socket that listens.
+    """Return a listening, non-blocking socket.
 
     Raises:
-        OSError: The port is taken or the address is not ours.
+        OSError: The port is in use or the address is not local.
     """
     found = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -45,10 +44,10 @@
 
 
 def open_sockets(node: NodeSettings) -> EarlySockets:
-    """Return the sockets of all that this process serves to others.
+    """Return the listening sockets of all configured services.
 
     Raises:
-        OSError: A port is taken.
+        OSError: A port is in use.
     """
     return EarlySockets(
         clients=_open(node.clients),
@@ -62,7 +61,7 @@
 
 
 def with_real_ports(node: NodeSettings, sockets: EarlySockets) -> NodeSettings:
-    """Return the settings with the ports that were taken where they leave them open."""
+    """Return the settings with open ports (0) replaced by the bound ports."""
     return replace(
         node,
         clients=_endpoint_of(sockets.clients),
--- a/lycheepost/app/feed.py
+++ b/lycheepost/app/feed.py
@@ -1,8 +1,8 @@
-"""Tells the scheduler which targets there are and in which state.
+"""Passes the targets and their states to the scheduler.
 
-Joins the configuration with what members and health answers say. The most
-pessimistic sign has already won in ``state.members``; here states only become
-``TargetView`` records.
+Combines the configuration with the states from members and health checks.
+``state.members`` has already chosen the most pessimistic state of each target; this
+module only builds ``TargetView`` records.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _CachedView:
-    """What a target's view was made of."""
+    """A target's view and the inputs that it was made from."""
 
     target: Target
     state: TargetState
@@ -52,11 +52,11 @@
 
 
 class ViewMaker:
-    """Makes the views of all targets, each again only when it has changed.
+    """Makes the views of all targets and caches those of unchanged targets.
 
-    At 12,000 targets making every view takes tens of milliseconds, four times a
-    second; that is more of a core than all control may cost. A changed revision
-    keeps the records of unchanged targets, so identity tells them apart.
+    At 12,000 targets making every view takes tens of milliseconds; four times a second
+    that exceeds the CPU budget of all control work. A new revision keeps the records
+    of unchanged targets, so they are compared by identity.
     """
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
         states: dict[TargetId, TargetState],
         incarnations: dict[TargetId, Incarnation],
     ) -> tuple[TargetView, ...]:
-        """Return the targets that the scheduler may know of, by name."""
+        """Return the views of all targets, sorted by name."""
         weights = {
             model.target_group: model.weights_version for model in view.models.values()
         }
@@ -133,7 +133,7 @@
 
 
 class TargetFeed:
-    """A task that passes changes of the targets to the scheduler."""
+    """Passes changes of the targets to the scheduler, in a task."""
 
     def __init__(
         self,
@@ -155,12 +155,12 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Feed once, so that the first request finds its targets, then go on."""
+        """Feed once, so that the first request finds targets, then periodically."""
         self.feed()
         self._task = start_task(self._run(), "target-feed")
 
     async def drain(self) -> None:
-        """Do nothing: requests in flight still need to be placed."""
+        """Do nothing: requests in flight still have to be placed."""
 
     async def stop(self) -> None:
         """Stop feeding."""
@@ -169,10 +169,10 @@
                 pending.cancel()
 
     def note_state(self, target: TargetId, state: TargetState | None) -> None:
-        """Feed within a moment if this state is not what was fed last.
+        """Schedule a feed if this state differs from the last one fed.
 
-        Signs of many targets come together when a rack fails or comes back;
-        the moment lets one pass serve them all.
+        When a rack fails or recovers, the states of many targets change at once; the
+        delay of ``FEED_DELAY_SECONDS`` lets one pass handle all of them.
         """
         if self._last_states.get(target) is state or self._pending_feed is not None:
             return
@@ -180,15 +180,15 @@
         self._pending_feed = loop.call_later(FEED_DELAY_SECONDS, self.feed)
 
     def feed(self) -> None:
-        """Pass the targets on if anything about them has changed."""
+        """Pass the targets to the scheduler if any of them has changed."""
         if self._pending_feed is not None:
             self._pending_feed.cancel()
             self._pending_feed = None
         view = self._get_view()
         self._last_states = self._get_states()
         views = self._maker.make(view, self._last_states, self._get_incarnations())
-        # The revision counts too: a change of a customer's share alone would
-        # otherwise not be in force until some target changes.
+        # The revision is compared as well: otherwise a change of a customer's share
+        # would take effect only when some target changes.
         seen = (view.configuration.revision, views)
         if seen == self._last:
             return
--- a/lycheepost/app/fleet.py
+++ b/lycheepost/app/fleet.py
@@ -1,7 +1,7 @@
-"""This daemon among its peers, where the daemons find each other by the store.
+"""Joins the fleet where daemons discover each other through the store.
 
-Links need the keys that the daemons share, and those lie in the store. So the
-links open once the store has answered; until then the daemon serves alone.
+Links need the keys shared by the daemons, which are kept in the store. The links
+open once the store has responded; until then the daemon serves without peers.
 """
 
 import asyncio
@@ -25,17 +25,17 @@
 from lycheepost.utils.tasks import start_task
 
 RETRY_SECONDS = 0.5
-"""Between tries while the store does not answer."""
+"""Interval between attempts while the store does not respond."""
 
 _log = structlog.get_logger(part="fleet")
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who this daemon is.
+    """The identity of this daemon.
 
     Attributes:
-        boot: Unique for each start.
+        boot: Id that is unique for each start.
     """
 
     daemon: DaemonId
@@ -45,14 +45,14 @@
 
 
 class Fleet:
-    """Opens the links and keeps this daemon's row in the table.
+    """Opens the links and maintains this daemon's row in the table.
 
     Args:
-        identity: Who this daemon is.
-        table: Where keys and rows are.
+        identity: The identity of this daemon.
+        table: The table that holds keys and rows.
         transport: The links.
-        exchange: What goes over them.
-        members: Whom there is.
+        exchange: Sends and receives messages over the links.
+        members: The members of the fleet.
     """
 
     def __init__(
@@ -73,15 +73,15 @@
         self._is_open = False
 
     async def start(self) -> None:
-        """Begin to join."""
+        """Start joining the fleet."""
         self._task = start_task(self._join(), "fleet-join")
 
     async def drain(self) -> None:
-        """Leave the addresses answers, and remove the row."""
+        """Announce that this daemon is leaving, and remove its row."""
         self._members.announce_leaving()
         match await self._rows.remove(self._identity.daemon, self._identity.boot):
             case Failure(error):
-                _log.info("fleet: row left behind", reason=error.reason)
+                _log.info("fleet: row not removed", reason=error.reason)
 
     async def stop(self) -> None:
         """Close the links."""
--- a/lycheepost/app/fleettopology.py
+++ b/lycheepost/app/fleettopology.py
@@ -1,4 +1,4 @@
-"""Where this daemon stands in the fleet, as far as it knows the others."""
+"""The neighbours of this daemon in the fleet, computed from the known members."""
 
 from dataclasses import dataclass
 
@@ -17,12 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetTopology:
-    """One daemon's place.
+    """The fleet as seen by one daemon.
 
     Attributes:
-        entry: The daemons that callers are told to use.
-        peers: The other entry daemons, for one of them; nobody for the others.
-        sources: Whom it asks for what the store tells, best first.
+        entry: The entry daemons, whose addresses are published to callers.
+        peers: The daemons that it exchanges load with: the other entry daemons if it
+            is one itself, otherwise none. In a small fleet all known daemons.
+        sources: The daemons that it requests store updates from, best first.
     """
 
     entry: frozenset[DaemonId]
@@ -34,17 +35,17 @@
     """Chooses the entry daemons among members.
 
     Attributes:
-        n_targets: Targets of the fleet.
+        n_targets: Number of targets of the fleet.
     """
 
     def __init__(self) -> None:
         self.n_targets = 0
 
     def choose(self, members: tuple[Member, ...]) -> frozenset[DaemonId]:
-        """Return the entry daemons among the members that serve.
+        """Return the entry daemons among the members that are live.
 
-        Where none does, as while the store is down, they are chosen among all that may
-        serve again: those who were entry daemons go on hearing of each other.
+        If none is live, as while the store is down, they are chosen among all members
+        that may become live again, so that entry daemons keep exchanging updates.
         """
         found = [item for item in members if item.state is MemberState.LIVE]
         found = found or [item for item in members if item.state in LINKED_STATES]
@@ -54,11 +55,11 @@
 def find_topology(
     me: Member, members: tuple[Member, ...], entry: frozenset[DaemonId]
 ) -> FleetTopology:
-    """Return the place of ``me``.
+    """Return the topology as seen by ``me``.
 
     Args:
         me: This daemon.
-        members: Every daemon that it knows.
+        members: All known daemons.
         entry: The entry daemons.
     """
     others = [item for item in members if item.daemon != me.daemon]
@@ -72,10 +73,10 @@
 def _find_peers(
     me: Member, known: list[Member], entry: frozenset[DaemonId]
 ) -> tuple[DaemonId, ...]:
-    """Return whom ``me`` tells its load.
+    """Return the daemons that ``me`` sends its load to.
 
-    In a small fleet that is everybody, also who cannot serve for a moment: it still
-    has requests under way, and will serve again.
+    In a small fleet these are all known daemons, including those that currently cannot
+    serve: they still have requests in flight and will serve again.
     """
     if len(known) < SMALL_FLEET_DAEMONS:
         return tuple(sorted(item.daemon for item in known))
@@ -83,18 +84,18 @@
 
 
 def to_fleet_member(member: Member) -> FleetMember:
-    """Return a member as the decisions on the fleet see it."""
+    """Convert a member to the record used by ``decide``."""
     return FleetMember(member.daemon, member.availability_zone, member.capacity)
 
 
 class TopologyTracker:
-    """Finds the place of this daemon anew when a member has changed.
+    """Computes the topology, and caches it until a member changes.
 
-    With two hundred members it takes a millisecond, and is asked for at each exchange
-    with the peers and at each question to the store.
+    With two hundred members the computation takes a millisecond, and the result is
+    needed at each exchange with the peers and at each request to the store.
 
     Args:
-        members: The members as this daemon sees them.
+        members: The members known to this daemon.
         chooser: Chooses the entry daemons for ``members``.
     """
 
@@ -105,13 +106,13 @@
         self._change: int | None = None
 
     def set_targets(self, n_targets: int) -> None:
-        """Follow how many targets there are."""
+        """Set the number of targets; on a change, choose entry daemons again."""
         if n_targets != self._chooser.n_targets:
             self._chooser.n_targets = n_targets
             self._members.choose_anew()
 
     def topology(self) -> FleetTopology:
-        """Return the place by what is known now."""
+        """Return the current topology."""
         members = self._members.members()
         if self._topology is None or self._change != self._members.n_changes:
             self._change = self._members.n_changes
@@ -124,7 +125,7 @@
 
     def _log_change(self, me: Member, topology: FleetTopology, n_members: int) -> None:
         _log.info(
-            "fleet: place changed",
+            "fleet: topology changed",
             is_entry=me.daemon in topology.entry,
             entry=sorted(topology.entry),
             sources=topology.sources,
--- a/lycheepost/app/gauges.py
+++ b/lycheepost/app/gauges.py
@@ -1,7 +1,7 @@
-"""Reports this daemon's levels as gauges every few seconds.
+"""Reports the gauges of this daemon every ``GAUGE_SECONDS``.
 
-Counters and timings are reported where things happen; levels are read from the
-status that ``/admin/status`` also shows, so that both tell the same.
+Counters and timings are reported where the events occur. Gauges are read from the
+status that ``/admin/status`` returns, so that both show the same values.
 """
 
 import asyncio
@@ -14,14 +14,14 @@
 from lycheepost.utils.tasks import start_task
 
 GAUGE_SECONDS = 15.0
-"""A dashboard's usual step. The status counts every target, tens of milliseconds
-at 12,000 of them, so it must not be asked for each second."""
+"""The usual step of a dashboard. Computing the status takes tens of milliseconds at
+12,000 targets, so it must not be done every second."""
 
 _log = structlog.get_logger(part="app")
 
 
 def read_gauges(status: dict[str, Any]) -> Iterator[tuple[str, float]]:
-    """Return names and values; names are listed in docs/METRICS.md."""
+    """Yield names and values; the names are listed in docs/METRICS.md."""
     yield "open_requests", status["n_open"]
     yield "revision", status["revision"]
     yield "is_draining", float(status["is_draining"])
@@ -44,11 +44,11 @@
 
 
 class GaugeReporter:
-    """A task that reports gauges.
+    """Reports gauges periodically, in a task.
 
     Args:
-        status: The answer of ``/admin/status``.
-        metrics: Where gauges go.
+        status: Returns the response body of ``/admin/status``.
+        metrics: Receives the gauges.
     """
 
     def __init__(self, status: Callable[[], dict[str, Any]], metrics: Metrics) -> None:
@@ -57,11 +57,11 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start to report."""
+        """Start reporting."""
         self._task = start_task(self._run(), "gauges")
 
     async def drain(self) -> None:
-        """Go on: the drain is what an operator wants to see."""
+        """Do nothing: operators watch the drain by these gauges."""
 
     async def stop(self) -> None:
         """Stop reporting."""
@@ -79,5 +79,5 @@
             try:
                 self.report()
             except Exception:
-                # A level that cannot be read must not end all reporting.
+                # An error in one report must not end the task.
                 _log.exception("app: gauges could not be read")
--- a/lycheepost/app/leaveplan.py
+++ b/lycheepost/app/leaveplan.py
@@ -1,22 +1,23 @@
-"""How a daemon that was told to stop spends its time."""
+"""Divides the platform's termination grace period of a daemon."""
 
 from dataclasses import dataclass
 
 ACCEPT_SHARE = 0.36
 FINISH_SHARE = 0.55
-"""Shares of the time until the platform kills a process. The first is 2.9 of eight
-seconds: clients have learned of other addresses by then, and a request that is taken
-has more than four seconds to end. The rest is for closing."""
+"""Shares of the grace period, after which the platform kills the process. Of eight
+seconds, 2.9 s are for accepting requests: by then clients have learned other addresses,
+and an accepted request has more than four seconds to finish. The rest is for closing
+connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeavePlan:
-    """The two spans of leaving.
+    """The two phases of a graceful shutdown.
 
     Attributes:
-        accept_seconds: It goes on taking requests of clients that still have its
-            address. What it takes later might not be finished in time.
-        finish_seconds: Then it finishes what it took, at most this long.
+        accept_seconds: How long new requests are accepted from clients that still use
+            its address. Requests accepted later might not finish in time.
+        finish_seconds: How long the accepted requests may take to finish after that.
     """
 
     accept_seconds: float
@@ -24,5 +25,5 @@
 
 
 def make_leave_plan(grace_seconds: float) -> LeavePlan:
-    """Return the plan for a platform that kills after ``grace_seconds``."""
+    """Return the plan for a platform that kills the process after ``grace_seconds``."""
     return LeavePlan(ACCEPT_SHARE * grace_seconds, FINISH_SHARE * grace_seconds)
--- a/lycheepost/app/listeners.py
+++ b/lycheepost/app/listeners.py
@@ -10,8 +10,8 @@
 from lycheepost.utils.tls import TlsKeeper, make_tls_keeper
 
 KEEP_ALIVE_SECONDS = 75.0
-"""Longer than the usual idle time of client pools, so that a client closes first
-and never meets a connection that this side has just closed."""
+"""Longer than the usual idle time-out of client pools, so that the client closes first
+and doesn't send a request on a connection that the server is closing."""
 MAX_HEADERS = 128
 
 _log = structlog.get_logger(part="app")
@@ -21,11 +21,11 @@
     """One port with its routes.
 
     Args:
-        name: Stands in logs.
-        routes: What is served.
-        host: IP number to listen on.
-        port: 0 takes a free port.
-        limits: Bounds of headers and bodies.
+        name: Name used in logs.
+        routes: The routes to serve.
+        host: IP address to listen on.
+        port: Port to listen on; 0 for a free port.
+        limits: Limits for headers and bodies.
         tls: Certificates; None for plain HTTP.
     """
 
@@ -49,7 +49,7 @@
 
     @property
     def port(self) -> int:
-        """Return the port; the real one once the listener has started."""
+        """Return the port; after the start, the bound one."""
         return self._port
 
     @property
@@ -58,17 +58,17 @@
         return "http" if self._tls is None else "https"
 
     async def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises:
-            OSError: The port is taken or the address is not ours.
+            OSError: The port is in use or the address is not local.
         """
         app = web.Application(client_max_size=self._limits.body_bytes)
         app.add_routes(self._routes)
         self._runner = web.AppRunner(
             app,
-            # A caller that leaves must free its place in the queue at once and
-            # let the engine stop.
+            # When a caller disconnects, its queue slot is freed at once and the
+            # engine's run is cancelled.
             handler_cancellation=True,
             access_log=None,
             keepalive_timeout=KEEP_ALIVE_SECONDS,
@@ -84,8 +84,8 @@
             self._port,
             ssl_context=None if self._tls is None else self._tls.context,
             backlog=1024,
-            # Several daemons on one VM share its cores, each on its own port;
-            # two on one port would be a mistake that must show.
+            # Daemons on the same VM use separate ports. Two on one port are a
+            # configuration error and must fail to start.
             reuse_port=False,
         )
         await self._site.start()
@@ -95,10 +95,10 @@
         _log.info("app: listening", name=self._name, port=self._port)
 
     async def drain(self) -> None:
-        """Do nothing; whoever owns the requests waits for them."""
+        """Do nothing: the owner of the requests waits for them."""
 
     async def stop(self) -> None:
-        """Close the port and what connections are left."""
+        """Close the port and the remaining connections."""
         if self._tls is not None:
             await self._tls.stop()
         if self._runner is not None:
@@ -116,13 +116,13 @@
     """Return a listener that is not started yet.
 
     Raises:
-        TlsError: Certificate and key cannot be read or do not go together.
+        TlsError: Certificate or key cannot be read, or they do not match.
     """
-    keeper = None
+    tls_manager = None
     if tls is not None:
         match make_tls_keeper(name, tls):
             case Success(made):
-                keeper = made
+                tls_manager = made
             case Failure(error):
                 raise error
-    return Listener(name, routes, host, port, limits, keeper)
+    return Listener(name, routes, host, port, limits, tls_manager)
--- a/lycheepost/app/loads.py
+++ b/lycheepost/app/loads.py
@@ -1,4 +1,4 @@
-"""Share with the peers what is under way at each target, and what was placed there."""
+"""Exchanges the load of each target and its placed prompts with the peers."""
 
 import asyncio
 
@@ -17,24 +17,25 @@
 from lycheepost.utils.tasks import start_task
 
 REPORT_SECONDS = 0.03
-"""How soon a change of our load is told. What waits at a target is bounded for all
-daemons together, so each must know within less than a prompt takes to be read."""
+"""Interval between reports of changed load. The queue of a target is bounded for all
+daemons together, so reports must arrive in less time than one prefill takes."""
 
 IDLE_SECONDS = 0.4
-"""Between two looks at whether there is somebody to tell."""
+"""Interval between checks for peers while there are none."""
 
 FULL_REPORT_SECONDS = 0.4
-"""So often all of our load is told, also when it is unchanged: peers would take this
-daemon for dead, and one that missed a change would believe in it for good."""
+"""Interval between full reports, also of unchanged load. Without them peers would
+assume that this daemon is dead, and one that missed a change would keep a stale
+load."""
 
 
 class LoadExchange:
-    """Tells our load to the other entry daemons and theirs to the scheduler.
+    """Sends this daemon's load to its peers and passes theirs to the scheduler.
 
     Args:
-        dispatcher: Knows our load and places by the sum.
-        exchange: The links.
-        clock: The clock of the decisions.
+        dispatcher: Returns the load of this daemon and places requests by the sum.
+        exchange: The links to the peers.
+        clock: The clock that the scheduler uses.
     """
 
     def __init__(
@@ -48,38 +49,38 @@
         self._peers: tuple[DaemonId, ...] = ()
         self._published: dict[TargetId, UnderWay] = {}
         self._published_waiting: tuple[TargetGroupId, ...] = ()
-        self._full_report_seconds = float("-inf")
+        self._last_full_report_seconds = float("-inf")
         self._task: asyncio.Task[None] | None = None
         exchange.subscribe(LoadNews, self._receive)
 
     async def start(self) -> None:
-        """Begin to tell."""
+        """Start sending load."""
         self._task = start_task(self._run(), "loads")
 
     async def drain(self) -> None:
-        """Go on: what is in flight here still counts for the others."""
+        """Do nothing: requests in flight still count towards the load of targets."""
 
     async def stop(self) -> None:
-        """Stop telling."""
+        """Stop sending load."""
         if self._task is not None:
             self._task.cancel()
 
     def set_targets(self, views: tuple[TargetView, ...]) -> None:
-        """Follow the targets that the scheduler knows."""
+        """Set the targets that the scheduler knows."""
         self._targets = tuple(view.target for view in views)
 
     def set_peers(self, peers: tuple[DaemonId, ...]) -> None:
-        """Follow who else is told; nobody where this daemon stands by."""
+        """Set the peers to send load to; none for a standby daemon."""
         self._peers = peers
 
     def count_running(self, target: TargetId) -> int:
-        """Return how many requests of this daemon and its peers run at a target."""
+        """Return the number of requests of this daemon and its peers at a target."""
         own = self._dispatcher.under_way().get(target, NOTHING)
         others = self._peer_loads.at(target, self._clock.now_seconds())
         return own.n_running + others.n_running
 
     def observe_report(self, report: LoadReport) -> None:
-        """Take a target's own word; it counts where no peer tells all of its load."""
+        """Use a target's own load report unless the peers report all of its load."""
         is_reported = self._peer_loads.is_known(self._clock.now_seconds())
         if not is_reported or report.target not in self._targets:
             self._dispatcher.observe_load(report)
@@ -95,16 +96,16 @@
     def _publish(self, placed: tuple[Placed, ...]) -> None:
         loads = self._dispatcher.under_way()
         now_seconds = self._clock.now_seconds()
-        is_whole = now_seconds - self._full_report_seconds > FULL_REPORT_SECONDS
+        is_whole = now_seconds - self._last_full_report_seconds > FULL_REPORT_SECONDS
         changed = loads if is_whole else find_changes(self._published, loads)
         waiting = self._dispatcher.waiting_groups()
-        is_news = changed or placed or waiting != self._published_waiting
-        if not is_news and not (is_whole and loads):
+        has_changes = changed or placed or waiting != self._published_waiting
+        if not has_changes and not (is_whole and loads):
             return
         self._published, self._published_waiting = loads, waiting
         if is_whole:
-            self._full_report_seconds = now_seconds
-        news = LoadNews(
+            self._last_full_report_seconds = now_seconds
+        update = LoadNews(
             is_whole=is_whole,
             waiting_groups=list(waiting),
             loads=[
@@ -117,7 +118,7 @@
             ],
             placed=[_to_message(item) for item in placed],
         )
-        self._exchange.send_to_each(self._peers, news)
+        self._exchange.send_to_each(self._peers, update)
 
     def _apply_peer_loads(self) -> None:
         now_seconds = self._clock.now_seconds()
@@ -132,18 +133,18 @@
         if is_known:
             self._dispatcher.pump()
 
-    def _receive(self, news: LoadNews, sender: DaemonId) -> None:
+    def _receive(self, update: LoadNews, sender: DaemonId) -> None:
         loads = {
             TargetId(load.target): UnderWay(load.queued_tokens, load.n_running)
-            for load in news.loads
+            for load in update.loads
         }
         now_seconds = self._clock.now_seconds()
-        if news.is_whole:
+        if update.is_whole:
             self._peer_loads.observe(sender, loads, now_seconds)
         else:
             self._peer_loads.observe_changes(sender, loads, now_seconds)
-        self._peer_loads.note_waiting(sender, map(TargetGroupId, news.waiting_groups))
-        for item in news.placed:
+        self._peer_loads.note_waiting(sender, map(TargetGroupId, update.waiting_groups))
+        for item in update.placed:
             self._dispatcher.note_placed(_from_message(item))
 
 
--- a/lycheepost/app/losses.py
+++ b/lycheepost/app/losses.py
@@ -1,8 +1,8 @@
-"""Share with the fleet which requests were running on lost targets.
+"""Shares with the fleet which requests were running on lost targets.
 
-A request that kills its target comes back through any daemon. Each daemon tells
-the others at once of every loss, so that the second one is recognised wherever it
-happens, of every quarantine, and of where a suspect is being tried.
+A request that crashes its target may be retried through any daemon. Each daemon
+reports every loss, every quarantine and every target that runs a suspect request to
+the others at once, so that the second loss is recognised at whichever daemon it occurs.
 """
 
 from lycheepost.callers.dispatch import Dispatcher
@@ -14,7 +14,7 @@
 
 
 class LossExchange:
-    """Connects a daemon's quarantine with the peers; it has no task of its own."""
+    """Exchanges losses and quarantines with the peers, without a task of its own."""
 
     def __init__(
         self, dispatcher: Dispatcher, exchange: PeerExchange, clock: Clock
@@ -45,8 +45,8 @@
             if notice.for_seconds > 0:
                 self._dispatcher.quarantine(fingerprint, notice.for_seconds)
             return
-        # A notice takes some milliseconds; a loss is told apart from the next by the
-        # pause before a retry, which is longer.
+        # The delivery of a notice takes some milliseconds. The pause before a retry is
+        # longer, so one loss is still distinguished from the next.
         now_seconds = self._clock.now_seconds()
         self._dispatcher.note_loss(
             fingerprint,
--- a/lycheepost/app/metricspage.py
+++ b/lycheepost/app/metricspage.py
@@ -1,4 +1,4 @@
-"""Serves the metrics and this daemon's own account of itself."""
+"""Serves the metrics and the status of this daemon over HTTP."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,11 +13,11 @@
 
 
 class MetricsPage:
-    """Answers who asks on the metrics port.
+    """The request handler of the metrics port.
 
     Args:
-        metrics: What is counted.
-        status: Returns what this daemon believes, with ages.
+        metrics: The metrics to serve.
+        status: Returns the status of this daemon, with the ages of its data.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         self._status = status
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one question."""
+        """Handle one request."""
         match request.path:
             case path if path == METRICS_PATH:
                 return web.Response(
--- a/lycheepost/app/notices.py
+++ b/lycheepost/app/notices.py
@@ -1,4 +1,4 @@
-"""Passes what targets say of themselves to the decisions and to the peers."""
+"""Passes the notices of targets to the scheduler and to the peers."""
 
 import asyncio
 
@@ -28,8 +28,8 @@
 from lycheepost.utils.tasks import start_task
 
 FULL_REPORT_SECONDS = 0.4
-"""So often peers are told all of it: one that has just started or missed a word must
-hear it before it sends many requests."""
+"""Interval between full reports to the peers. A peer that has just started or missed a
+report must receive it before it sends many requests."""
 
 _SOURCE_ANSWER = "answer"
 
@@ -37,15 +37,17 @@
 
 
 class NoticeExchange:
-    """Passes what targets say of themselves to the decisions and to the peers.
+    """Passes the notices of targets to the scheduler and to the peers.
+
+    A notice is a rate limit, a back-off, or the announcement that a target leaves.
 
     Args:
-        notices: Keeps it.
-        dispatcher: Holds to limits and back-offs.
-        targets: Leaves out targets that are leaving.
-        exchange: The links.
-        clock: The clock of the decisions.
-        metrics: Where gauges go.
+        notices: Stores the notices in force.
+        dispatcher: Enforces limits and back-offs.
+        targets: Excludes targets that are leaving.
+        exchange: The links to the peers.
+        clock: The clock that the scheduler uses.
+        metrics: Receives the gauges.
     """
 
     def __init__(
@@ -69,21 +71,21 @@
         exchange.subscribe(NoticeNews, self._receive)
 
     async def start(self) -> None:
-        """Begin to tell."""
+        """Start sending reports."""
         self._task = start_task(self._run(), "notices")
 
     async def drain(self) -> None:
-        """Go on: requests are sent to targets until the end."""
+        """Do nothing: requests are sent to targets until the end of the drain."""
 
     async def stop(self) -> None:
-        """Stop telling."""
+        """Stop sending reports."""
         if self._task is not None:
             self._task.cancel()
 
     def status(self) -> dict[str, object]:
-        """Return what targets say of themselves, by target.
+        """Return the notices in force, by target.
 
-        Limits are in requests a second, back-offs in the seconds that are left.
+        Limits are in requests per second, back-offs in remaining seconds.
         """
         backoffs = self._notices.backoffs.in_force(self._clock.now_seconds())
         return {
@@ -99,24 +101,24 @@
         }
 
     def set_peers(self, peers: tuple[DaemonId, ...]) -> None:
-        """Follow who is told."""
+        """Set the peers to send reports to."""
         self._peers = peers
 
     def set_targets(self, views: tuple[TargetView, ...]) -> None:
-        """Follow the targets that there are."""
+        """Set the current targets."""
         self._targets = tuple(view.target for view in views)
         self._notices.keep(self._targets, self._clock.now_seconds())
         self._set_gauges()
 
     def is_backed_off(self, target: TargetId) -> bool:
-        """Tell whether a target wants no request from this daemon now."""
+        """Return whether a target has asked this daemon to back off."""
         until_seconds = self._notices.backoffs.until_seconds(target)
         return self._clock.now_seconds() < until_seconds
 
     def note_headers(
         self, sent_to: ListedTarget, head: AnswerHead, sent_seconds: float
     ) -> None:
-        """Take what the head of an answer says of its target."""
+        """Apply the notice in the headers of a response."""
         if head.is_other_target:
             return
         changes = self._notices.note_answer(
@@ -130,9 +132,9 @@
         self._apply_all(changes)
 
     def note_call(self, sent_to: ListedTarget, notice: TargetNotice) -> None:
-        """Take what the answer to a call beside the requests says of its target.
+        """Apply the notice in the response to a control call.
 
-        Whether it would name a limit isn't known, so it ends none.
+        Such a response may omit a limit that is in force, so it never removes one.
         """
         now_seconds = self._clock.now_seconds()
         changes = self._notices.note_answer(
@@ -154,7 +156,7 @@
             self._set_gauges()
 
     def _apply(self, change: NoticeChange, source: str) -> None:
-        """Hold to what a target says now."""
+        """Apply one change of a target's notices."""
         match change:
             case LimitChanged(target, per_second):
                 _log.info(
@@ -166,7 +168,7 @@
                 self._dispatcher.set_limit(target, per_second)
             case IsLeaving(start):
                 _log.info(
-                    "targets: says that it leaves",
+                    "targets: leaving",
                     target=start.target,
                     started_ms=start.started_ms,
                     source=source,
@@ -175,7 +177,7 @@
             case BackOffAsked(target, until_seconds):
                 left_seconds = until_seconds - self._clock.now_seconds()
                 _log.info(
-                    "targets: back-off asked",
+                    "targets: back-off requested",
                     target=target,
                     for_seconds=round(left_seconds, 3),
                 )
@@ -199,7 +201,7 @@
                 self._publish(limits, leaving)
 
     def _publish_change(self, change: NoticeChange, now_seconds: float) -> None:
-        """Tell the peers of a change that concerns them too."""
+        """Send a change to the peers; back-offs concern this daemon only."""
         match change:
             case LimitChanged(target, _):
                 limit = self._notices.limits.own(now_seconds).get(target)
--- a/lycheepost/app/platform.py
+++ b/lycheepost/app/platform.py
@@ -1,4 +1,4 @@
-"""The platform's services as one daemon reaches them."""
+"""Clients of the platform's services."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Platform:
-    """One port for each service, and what closes their connections."""
+    """One port for each service, and the functions that close their connections."""
 
     table: TablePort
     objects: ObjectPort
@@ -25,10 +25,10 @@
     closers: tuple[Callable[[], Awaitable[None]], ...] = ()
 
     async def start(self) -> None:
-        """Do nothing: connections are opened by the first calls."""
+        """Do nothing: connections are opened on first use."""
 
     async def drain(self) -> None:
-        """Do nothing: other parts still use the services while they drain."""
+        """Do nothing: other components use the services while they drain."""
 
     async def stop(self) -> None:
         """Close all connections."""
@@ -37,7 +37,7 @@
 
 
 def make_http_platform(settings: Settings) -> Platform:
-    """Return clients of the services that the settings name."""
+    """Return HTTP clients of the services given in the settings."""
     platform = settings.platform
     timeout_seconds = platform.timeout_seconds
     table = make_http_table(platform.table_url, timeout_seconds)
--- a/lycheepost/app/platformbase.py
+++ b/lycheepost/app/platformbase.py
@@ -1,4 +1,4 @@
-"""What the parts of a daemon on the platform have in common."""
+"""State shared by the components of a daemon on the platform."""
 
 import random
 import secrets
@@ -13,16 +13,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformBase:
-    """One start of one daemon.
+    """Shared state of one start of a daemon.
 
     Attributes:
-        node: What the platform tells this process.
-        clock: A clock that counts suspension.
-        store: The one client of the platform's store.
-        boot: Unique for each start.
-        seed: Of everything random in this start.
-        rng: Random numbers from that seed.
-        switched_off: Mechanisms of the decisions that are not used.
+        node: The platform's settings for this process.
+        clock: A clock that includes the time of suspension.
+        store: The shared client of the platform's store.
+        boot: Id that is unique for each start.
+        seed: Seed of all random generators of this start.
+        rng: A random generator with that seed.
+        switched_off: Disabled mechanisms of the decisions.
     """
 
     node: NodeSettings
@@ -39,7 +39,7 @@
     clock: Clock,
     switched_off: frozenset[Mechanism] = frozenset(),
 ) -> PlatformBase:
-    """Return the base of a new start."""
+    """Return the shared state of a new start."""
     boot = secrets.token_hex(6)
     seed = hash_bytes(f"{node.daemon}/{boot}".encode())
     return PlatformBase(
--- a/lycheepost/app/platformdaemon.py
+++ b/lycheepost/app/platformdaemon.py
@@ -1,7 +1,7 @@
-"""The daemon on the users' platform: joins the adapter with the product's parts.
+"""The daemon on the users' platform: wires its adapter to the other components.
 
-``make_platform_daemon`` joins the parts; ``PlatformDaemon`` runs their life cycle.
-Nothing is decided here.
+``make_platform_daemon`` builds the components and ``PlatformDaemon`` runs their life
+cycle. This module makes no routing decisions.
 """
 
 import asyncio
@@ -58,17 +58,17 @@
 from lycheepost.utils.tasks import start_task
 
 METRICS_PORT = 9109
-"""Named in deploy/system.toml as well; outside of the range that peers use."""
+"""Also given in deploy/system.toml; outside of the port range that peers use."""
 
 N_TABLES = 2
-"""The operators' and the targets'."""
+"""The tables of the operators and of the targets."""
 
 _log = structlog.get_logger(part="app")
 
 
 @dataclass(frozen=True, slots=True)
 class DaemonComponents:
-    """What a daemon on the platform is made of."""
+    """The components of a daemon on the platform."""
 
     base: PlatformBase
     peers: PlatformPeers
@@ -83,14 +83,15 @@
     """One running daemon on the platform.
 
     Args:
-        components: Its parts.
-        metrics: What is counted.
-        plan: How it ends; None for the platform's time in force by then.
-        sockets: Ports that listen already.
-        metrics_port: Where metrics are served.
+        components: The components.
+        metrics: The metrics to serve.
+        plan: The phases of the shutdown; None to derive them from the platform's grace
+            period that is in force then.
+        sockets: Sockets that are already listening.
+        metrics_port: Port that serves metrics.
 
     Attributes:
-        is_leaving: It was told to stop.
+        is_leaving: Whether the shutdown has begun.
     """
 
     def __init__(
@@ -129,14 +130,14 @@
 
     @property
     def watches(self) -> tuple[Watch, Watch]:
-        """Return the watches of the operators' and of the targets' table."""
+        """Return the watches of the operators' and the targets' tables."""
         return self._components.watches
 
     async def start(self) -> None:
-        """Start all parts.
+        """Start all components.
 
         Raises:
-            OSError: A port is taken.
+            OSError: A port is in use.
         """
         await start_components(self._lifecycle)
         node = self._components.base.node
@@ -150,7 +151,7 @@
         )
 
     async def drain(self) -> None:
-        """Leave the addresses first, then finish every request in flight."""
+        """Leave the published addresses, then finish all requests in flight."""
         grace_seconds = self._components.settings.bounds.grace_seconds
         plan = self._plan or make_leave_plan(grace_seconds)
         self.is_leaving = True
@@ -161,19 +162,22 @@
         await asyncio.sleep(plan.accept_seconds)
         leave.cancel()
         self._front.is_closed = True
-        _log.info("app: takes nothing new", n_open=self._front.n_open)
+        _log.info("app: refusing new requests", n_open=self._front.n_open)
         try:
             async with asyncio.timeout(plan.finish_seconds):
                 await self._front.drain()
         except TimeoutError:
-            _log.warning("app: requests outlived the drain", n_open=self._front.n_open)
+            _log.warning(
+                "app: drain timed out with requests in flight",
+                n_open=self._front.n_open,
+            )
 
     async def reload(self) -> None:
-        """Read the platform's settings again."""
+        """Reload the platform's settings."""
         self._components.settings.reload()
 
     async def stop(self) -> None:
-        """Stop all parts."""
+        """Stop all components."""
         await stop_components(self._lifecycle)
         _log.info("app: stopped")
 
@@ -197,7 +201,7 @@
         ]
 
     def _can_check_keys(self) -> bool:
-        """Tell whether keyed requests can be served now."""
+        """Return whether requests with an API key can be authorized now."""
         routing = self.routing
         return routing.table is not None and may_trust_key(
             make_key_rule(self._components.settings.bounds),
@@ -209,7 +213,7 @@
         return self._can_check_keys() and not self.is_leaving
 
     def _tick(self) -> None:
-        """Let time pass for targets, budgets and this daemon's own standing."""
+        """Update targets, budgets and the announced state of this daemon."""
         members = self._components.peers.members
         terms = retry_terms(
             self._components.settings.bounds, self._count_retry_shares()
@@ -228,15 +232,15 @@
         )
         if self.is_leaving:
             return
-        # Callers that are sent here while keys cannot be confirmed are refused, and
-        # have lost one of the few tries that they make.
+        # While keys cannot be confirmed, callers sent here would be refused and lose
+        # one of their few attempts.
         if self._can_check_keys():
             members.announce_live()
         else:
             members.announce_leaving()
 
     def _update_topology(self) -> None:
-        """Do what the place of this daemon in the fleet asks for."""
+        """Apply the current topology of the fleet."""
         peers, traffic = self._components.peers, self._components.traffic
         peers.topology_tracker.set_targets(traffic.targets.n_listed)
         if peers.members.n_lists:
@@ -246,7 +250,7 @@
         )
 
     def _count_retry_shares(self) -> int:
-        """Return among how many daemons the fleet's repeats are divided."""
+        """Return the number of daemons that share the fleet's retry budget."""
         members, entry = (
             self._components.peers.members,
             self._components.peers.members.entry(),
@@ -254,10 +258,10 @@
         return count_retry_shares(members.me().daemon, entry, members.n_live())
 
     def _count_limit_shares(self) -> int:
-        """Return among how many daemons the limits of targets are divided.
+        """Return the number of daemons that share the rate limits of targets.
 
-        All that aren't gone count. Daemons that cannot reach the store are not live,
-        and go on sending requests that need no key.
+        All daemons that aren't gone count: those that cannot reach the store are not
+        live but still send requests that need no key.
         """
         members = self._components.peers.members
         n_daemons = self._n_daemons()
@@ -266,7 +270,7 @@
         return count_retry_shares(members.me().daemon, members.entry(), n_daemons)
 
     def _n_daemons(self) -> int:
-        """Return how many daemons the fleet has, also those that are not live."""
+        """Return the size of the fleet, including daemons that are not live."""
         states = [member.state for member in self._components.peers.members.members()]
         return max(1, len(states) - states.count(MemberState.GONE))
 
@@ -283,7 +287,7 @@
         return [item.url for item in answer.addresses]
 
     def status(self) -> dict[str, Any]:
-        """Return what this daemon believes, with ages."""
+        """Return the status of this daemon, with the ages of its data."""
         components = self._components
         return {
             "daemon_id": components.base.node.daemon,
@@ -317,16 +321,17 @@
     settings_file: pathlib.Path | None = None,
     switched_off: frozenset[Mechanism] = frozenset(),
 ) -> PlatformDaemon:
-    """Join the parts of one daemon; nothing is started yet.
+    """Build the components of one daemon without starting them.
 
     Args:
-        node: What the platform tells this process.
-        sockets: Ports that listen already.
-        clock: Tells the time; this machine's when None.
-        metrics_port: Where metrics are served; 0 takes a free port.
-        leave_plan: How it ends; None for the platform's time in force by then.
-        settings_file: Where ``node`` was read from; looked at for changes.
-        switched_off: Mechanisms of the decisions that are not used.
+        node: The platform's settings for this process.
+        sockets: Sockets that are already listening.
+        clock: The clock; None for the system clock.
+        metrics_port: Port that serves metrics; 0 for a free port.
+        leave_plan: The phases of the shutdown; None to derive them from the platform's
+            grace period that is in force then.
+        settings_file: The file that ``node`` was read from; watched for changes.
+        switched_off: Disabled mechanisms of the decisions.
     """
     base = make_base(node, clock or SystemClock(), switched_off)
     metrics = ServedMetrics()
--- a/lycheepost/app/platformdemo.py
+++ b/lycheepost/app/platformdemo.py
@@ -1,8 +1,8 @@
 """The demo on a model of the users' platform: mixed traffic, faults, and an audit.
 
-Three daemons before stand-ins that speak the platform's protocol. While traffic runs
-one engine breaks streams off, orders lose their answers, and new weights are named.
-Every answer is checked against what was asked, and every order against what ran.
+Three daemons route to stand-ins that implement the platform's protocol. While traffic
+runs, streams are cut off, responses to orders are lost, and new weights are published.
+Every response is checked against its request, and every order against the runs.
 """
 
 import asyncio
@@ -31,16 +31,17 @@
 N_ENGINES = 4
 N_EVENTS = 6
 N_ALBUMS = 12
-"""Albums whose prompts share their first part; a few come again and again."""
+"""Number of albums; prompts of the same album share a prefix."""
 
 FAULT_SHARE = 0.03
-"""Share of requests that meet a fault of their server."""
+"""Share of requests for which a server fault is injected."""
 
 MIN_SERVED_SHARE = 0.8
-"""Of ten requests fewer than one meets a fault that cannot be made good."""
+"""Required share of served requests. Fewer than one request in ten meets a fault that
+a retry cannot mask."""
 
 WEIGHTS_AFTER_SHARE = 0.4
-"""New weights are named after this part of the requests."""
+"""New weights are published after this share of the requests."""
 
 FAULTS = (LostAnswer(), OwnFailure(), Refused(503), Truncated(2))
 _NOT_RUN = (429, 503)
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformDemoPlan:
-    """What the demo shall do."""
+    """Parameters of a demo run."""
 
     n_seconds: float
     rate_per_second: float
@@ -57,14 +58,13 @@
 
 @dataclass
 class PlatformDemoReport:
-    """What came of it.
+    """The result of a demo run.
 
     Attributes:
-        outcomes: How requests ended, by kind.
-        violations: One sentence for each promise that was broken.
-        whole_seconds: From the sending of a request to the end of its answer.
-        n_tokens: Prompt tokens of served requests.
-        weights: Versions that answers were made with.
+        outcomes: Number of requests by kind and outcome.
+        violations: One sentence for each violated guarantee.
+        whole_seconds: Times from sending a request to the end of its response.
+        weights: Number of responses by weights version.
     """
 
     outcomes: Counter[str] = field(default_factory=Counter)
@@ -73,12 +73,12 @@
     weights: Counter[str] = field(default_factory=Counter)
 
     def quantile(self, share: float) -> float:
-        """Return the time within which this share of answers was whole."""
+        """Return a quantile of the times until responses were complete."""
         ordered = sorted(self.whole_seconds)
         return ordered[int(share * (len(ordered) - 1))] if ordered else 0.0
 
     def describe(self) -> dict[str, object]:
-        """Return the report as one object."""
+        """Return the report as a JSON object."""
         return {
             "outcomes": dict(self.outcomes),
             "whole_p50_seconds": round(self.quantile(0.5), 4),
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemoRequest:
-    """One request and the answer that is right."""
+    """One request and the expected response body."""
 
     kind: str
     method: str
@@ -100,12 +100,12 @@
 
     @property
     def is_stream(self) -> bool:
-        """Tell whether its answer is a stream."""
+        """Return whether the response is a stream."""
         return self.kind in ("title", "album")
 
 
 async def run_platform_demo(plan: PlatformDemoPlan) -> PlatformDemoReport:
-    """Run the deployment, send traffic, and audit every answer."""
+    """Run the deployment, send traffic, and audit every response."""
     fleet = PlatformFleet()
     await fleet.start(N_DAEMONS, n_engines=N_ENGINES)
     report = PlatformDemoReport()
@@ -129,7 +129,7 @@
     async with asyncio.TaskGroup() as group:
         for number in range(n_requests):
             if number == int(n_requests * WEIGHTS_AFTER_SHARE):
-                fleet.name_weights(2)
+                fleet.publish_weights(2)
             if rng.random() < FAULT_SHARE:
                 faults.add(rng.choice(FAULTS))
             group.create_task(_send(fleet, make_demo_request(rng, number), rng, report))
@@ -137,7 +137,7 @@
 
 
 def make_demo_request(rng: random.Random, number: int) -> DemoRequest:
-    """Return a request of the seed's choice."""
+    """Return a random request."""
     kind = rng.choices(("album", "title", "order", "look"), (45, 31, 19, 8))[0]
     path = f"/{kind}/{number}"
     if kind == "look":
@@ -149,61 +149,67 @@
     return DemoRequest(kind, "POST", path, body, events)
 
 
-def make_prompt_headers(rng: random.Random, asked: DemoRequest) -> dict[str, str]:
-    """Return the headers that tell a request's prompt; none for a plain one."""
-    if not asked.is_stream:
+def make_prompt_headers(rng: random.Random, request: DemoRequest) -> dict[str, str]:
+    """Return the headers that describe the prompt; none for a plain service."""
+    if not request.is_stream:
         return {}
     album = rng.randrange(N_ALBUMS)
     return {
         names.MODEL: MODEL,
         names.TOKENS: f"6500,{N_EVENTS}",
-        names.PROMPT_PARTS: f"a0:2520,b{album:x}:3780,c{asked.path[7:]}:200",
+        names.PROMPT_PARTS: f"a0:2520,b{album:x}:3780,c{request.path[7:]}:200",
     }
 
 
 async def _send(
     fleet: PlatformFleet,
-    asked: DemoRequest,
+    request: DemoRequest,
     rng: random.Random,
     report: PlatformDemoReport,
 ) -> None:
     key = rng.choice(tuple(KEYS))
-    headers = fleet.headers(key, **make_prompt_headers(rng, asked))
+    headers = fleet.headers(key, **make_prompt_headers(rng, request))
     index = rng.randrange(len(fleet.daemons))
     started = time.monotonic()
-    answer = await fleet.ask(asked.method, asked.path, headers, asked.body, index)
+    answer = await fleet.ask(request.method, request.path, headers, request.body, index)
     elapsed = time.monotonic() - started
-    check_answer(fleet, asked, headers[names.ATTEMPT_ID], answer, elapsed, report)
+    check_answer(fleet, request, headers[names.ATTEMPT_ID], answer, elapsed, report)
 
 
 def check_answer(
     fleet: PlatformFleet,
-    asked: DemoRequest,
+    request: DemoRequest,
     attempt_id: str,
     answer: Answer,
     elapsed_seconds: float,
     report: PlatformDemoReport,
 ) -> None:
-    """Count one answer, and note whatever it breaks."""
+    """Count one response and record its violations."""
     is_served = answer.status == 200 and answer.is_whole
     if is_served:
-        report.outcomes[f"{asked.kind} served"] += 1
+        report.outcomes[f"{request.kind} served"] += 1
         report.whole_seconds.append(elapsed_seconds)
         if names.WEIGHTS in answer.headers:
             report.weights[answer.headers[names.WEIGHTS]] += 1
-        if answer.body != asked.expected:
-            report.violations.append(f"{attempt_id}: the answer is not its own")
+        if answer.body != request.expected:
+            report.violations.append(f"{attempt_id}: the response is not its own")
         return
-    report.outcomes[f"{asked.kind} {answer.status or 'cut'}"] += 1
-    if answer.status == 200 and not asked.expected.startswith(answer.body):
-        report.violations.append(f"{attempt_id}: a cut answer is not a beginning")
-    is_called_unrun = answer.status in _NOT_RUN and names.SEAL not in answer.headers
-    if is_called_unrun and fleet.runs(attempt_id) and asked.kind in ("order", "album"):
+    report.outcomes[f"{request.kind} {answer.status or 'cut'}"] += 1
+    if answer.status == 200 and not request.expected.startswith(answer.body):
+        report.violations.append(
+            f"{attempt_id}: a cut response is not a beginning of the expected one"
+        )
+    is_reported_not_run = answer.status in _NOT_RUN and names.SEAL not in answer.headers
+    if (
+        is_reported_not_run
+        and fleet.runs(attempt_id)
+        and request.kind in ("order", "album")
+    ):
         report.violations.append(f"{attempt_id}: called not run, and it ran")
 
 
 def _audit_served(report: PlatformDemoReport) -> None:
-    """Count what was served: answers that nobody got break no other promise."""
+    """Check the share of served requests, which no other check covers."""
     n_asked = sum(report.outcomes.values())
     n_served = sum(n for kind, n in report.outcomes.items() if kind.endswith("served"))
     if n_served < MIN_SERVED_SHARE * n_asked or not n_asked:
@@ -211,7 +217,7 @@
 
 
 def audit_runs(fleet: PlatformFleet, report: PlatformDemoReport) -> None:
-    """Count what may run once and ran twice, and what ran where it must not."""
+    """Check that requests ran at most once where required, and at the right service."""
     runs = Counter(
         run.attempt_id
         for run in fleet.runs()
--- a/lycheepost/app/platformfleet.py
+++ b/lycheepost/app/platformfleet.py
@@ -1,7 +1,7 @@
 """A small deployment of the users' platform on loopback, as tasks of one process.
 
-A store, engines and plain services that speak the platform's protocol, and daemons
-before them. The demo and whole-system tests use it.
+It runs a store, engines and plain services that implement the platform's protocol, and
+daemons that route to them. The demo and whole-system tests use it.
 """
 
 import asyncio
@@ -32,9 +32,9 @@
 WAIT_TIMEOUT_SECONDS = 10.0
 POLL_SECONDS = 0.02
 FIRST_START_MS = 1_700_000_000_000
-"""When the first starts of servers were, for those that state it."""
+"""Start time of servers that report one."""
 KEYS = {"k-one": "one", "k-two": "two"}
-"""Keys and their customers; the second customer is isolated."""
+"""API keys and their customers; the second customer is isolated."""
 
 ISOLATED_KEY = "k-two"
 BOUNDS = Bounds(
@@ -53,7 +53,7 @@
 
 @dataclass
 class Answer:
-    """What a client got; ``status`` None when the connection broke first."""
+    """A client's response; ``status`` is None if the connection failed before it."""
 
     status: int | None
     headers: dict[str, str] = field(default_factory=dict)
@@ -62,7 +62,7 @@
 
 
 def _listen() -> socket.socket:
-    """Return a socket that listens on a free port."""
+    """Return a listening socket on a free port."""
     return open_socket(Endpoint(HOST, 0))
 
 
@@ -73,7 +73,7 @@
 def make_route(
     name: str, prefix: str, kind: str, service: str, **more: Any
 ) -> dict[str, Any]:
-    """Return a route as an operator writes it."""
+    """Return a route in the format of the operators' configuration."""
     return {
         "name": name,
         "host": SITE,
@@ -96,7 +96,7 @@
     keys: tuple[str, ...] = tuple(KEYS),
     customers: Mapping[str, str] = KEYS,
 ) -> dict[str, Any]:
-    """Return a configuration as an operator writes it."""
+    """Return a configuration in the operators' format."""
     engine = {"slots": 32, "kv_capacity_tokens": 100000, "models": [{"name": MODEL}]}
     return {
         "version": version,
@@ -131,14 +131,14 @@
     """Store, servers and daemons, as tasks of the running loop.
 
     Args:
-        bounds: What the platform's rules allow.
+        bounds: The platform's bounds for daemons.
 
     Attributes:
         store: The platform's store.
         servers: Engines and plain services.
-        nodes: What each daemon was told.
-        daemons: The daemons, in the same order.
-        attempt_id: The id of the last request made.
+        nodes: The platform's settings of each daemon.
+        daemons: The daemons, in the same order as ``nodes``.
+        attempt_id: The attempt id of the last request.
     """
 
     def __init__(self, bounds: Bounds = BOUNDS) -> None:
@@ -153,7 +153,7 @@
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        """Return the clients' connections."""
+        """Return the HTTP session of the clients."""
         if self._session is None:
             raise RuntimeError("the fleet is not started")
         return self._session
@@ -169,11 +169,11 @@
         """Start everything and wait until the daemons are ready.
 
         Args:
-            n_daemons: Daemons.
-            n_plain: Plain services.
-            n_engines: Engines.
-            is_configured: An operator has written a configuration.
-            states_starts: Servers state when they started.
+            n_daemons: Number of daemons.
+            n_plain: Number of plain services.
+            n_engines: Number of engines.
+            is_configured: Whether a configuration is written before the start.
+            states_starts: Whether servers report their start time.
         """
         self._session = aiohttp.ClientSession(auto_decompress=False)
         await self.store.start()
@@ -205,15 +205,15 @@
         self.register(server)
 
     def register(self, server: PlatformServer) -> None:
-        """Write a server's entry as it is now."""
+        """Write a server's current entry to the store."""
         self.store.store.put("servers", server.name, server.entry(ZONE))
 
     def configure(self, document: dict[str, Any]) -> None:
-        """Write a configuration, as an operator does."""
+        """Write a configuration to the store, as an operator does."""
         self.store.store.put("op", "config", msgspec.json.encode(document))
 
-    def name_weights(self, version: int) -> None:
-        """Name new weights, as an operator does."""
+    def publish_weights(self, version: int) -> None:
+        """Write a new weights version to the store, as an operator does."""
         value = msgspec.json.encode({"model": MODEL, "version": version})
         self.store.store.put("op", f"version/{MODEL}", value)
 
@@ -248,7 +248,7 @@
         condition: Callable[[], Awaitable[bool]],
         within_seconds: float = WAIT_TIMEOUT_SECONDS,
     ) -> None:
-        """Wait until a condition holds; fail after a generous bound."""
+        """Wait until a condition holds; raise TimeoutError if it doesn't in time."""
         async with asyncio.timeout(within_seconds):
             while True:
                 if await condition():
@@ -256,20 +256,20 @@
                 await asyncio.sleep(POLL_SECONDS)
 
     async def all_ready(self) -> bool:
-        """Tell whether every daemon is ready and in the directory."""
+        """Return whether every daemon is ready and listed in the directory."""
         for index in range(len(self.nodes)):
             if await self.ready(index) != 200:
                 return False
         return len(await self.addresses(0)) == len(self.nodes)
 
     async def ready(self, index: int = 0) -> int:
-        """Return the status of a daemon's readiness."""
+        """Return the HTTP status of a daemon's readiness check."""
         url = f"http://{self.nodes[index].readiness}/ready"
         async with self.session.get(url) as answer:
             return answer.status
 
     async def addresses(self, index: int = 0) -> list[str]:
-        """Return what a daemon's directory answers."""
+        """Return the addresses that a daemon's directory lists."""
         url = f"http://{self.nodes[index].directory}/lookup?name={SITE}&zone={ZONE}"
         async with self.session.get(url) as answer:
             if answer.status != 200:
@@ -281,7 +281,7 @@
         return [server for server in self.servers if server.service == service]
 
     def runs(self, attempt_id: str | None = None) -> list[ServerRun]:
-        """Return what servers ran, of one request or of all."""
+        """Return the runs of one request or of all requests on all servers."""
         return [
             run
             for server in self.servers
@@ -322,7 +322,7 @@
         body: bytes = b"",
         index: int = 0,
     ) -> Answer:
-        """Send one request through a daemon and read what comes."""
+        """Send one request through a daemon and read the response."""
         url = yarl.URL(f"http://{self.nodes[index].clients}{path}", encoded=True)
         try:
             response = await self.session.request(
--- a/lycheepost/app/platformpeers.py
+++ b/lycheepost/app/platformpeers.py
@@ -1,4 +1,4 @@
-"""The other daemons on the platform: members, links, and the weights duty."""
+"""Members, peer links and the weights duty of a daemon on the platform."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -37,54 +37,56 @@
 
 EXCHANGE_SECONDS = 0.4
 PEER_LINKS = 3
-"""Links of the rings, beside those for load and for questions: enough that word of a
-target's change reaches all daemons in few steps, also when some of them are dead."""
+"""Links of the rings, beside those for load and for store requests. With three a change
+of a target reaches all daemons in few hops, even if some daemons are dead."""
 
 MEMBER_POLL_SECONDS = 12.0
-"""Peers tell of each other; the table is looked at only to find peers at all."""
+"""Poll interval of the member table, which is needed only to discover the first peers:
+peers then report each other."""
 
 FLEET_POLL_SECONDS = 2.0
-"""So often one daemon of the fleet looks at the table, however many there are: one that
-nobody has told of is found, and then told of, within some seconds."""
+"""Poll interval of the member table for the fleet as a whole, whatever its size. A
+daemon that no peer has reported is found and announced within some seconds."""
 
 ADDRESS_SECONDS = 0.9
-"""How long clients may keep an addresses answer. Some keep it three times as long:
-as long as a daemon that leaves goes on taking requests."""
+"""How long clients may cache an addresses response. Some keep it three times as long,
+which is as long as a leaving daemon accepts requests."""
 
 SHORT_ADDRESS_SECONDS = 0.25
-"""The same while few daemons can be named. Callers that ask four times a second cost
-each daemon little, as all of them answer."""
+"""The same while few daemons can be listed. Four lookups per second and caller cost
+each daemon little, since all daemons serve them."""
 
 WEIGHTS_DUTY = "weights"
 LEASE_SECONDS = 3.6
 LEASE_MARGIN_SECONDS = 1.65
-"""A holder orders until 1.95 s after its last renewal, the next one from 5.25 s on.
-Between them lie 3.3 s, more than the platform asks between two holders' orders to
-one server; and weights that were named as their holder died are in place within the
-ten seconds that it allows, with four seconds for the change itself."""
+"""A holder may send orders until 1.95 s after its last renewal, the next holder from
+5.25 s on. The gap of 3.3 s exceeds the time that the platform requires between two
+holders' orders to one server. Weights published as their holder dies are in place
+within the ten seconds that the platform allows, with four seconds for the change
+itself."""
 
 ORDER_GAP_MARGIN_SECONDS = 0.3
-"""Beyond the time between two holders' orders that the platform asks for, for an
-order that is still on its way when its holder gives the lease up."""
+"""Added to the time that the platform requires between two holders' orders, for an
+order that is still in transit when its holder releases the lease."""
 
 DUTY_PERIOD_SECONDS = 0.8
-"""Two renewals within the time that a holder may order."""
+"""Allows two renewals within the time that a holder may send orders."""
 
 DUTY_SETTLE_SECONDS = 1.2
-"""How long after its start a daemon knows the others. A lease of an earlier start runs
-out only after five seconds."""
+"""Time after its start until a daemon knows its peers. A lease of an earlier start
+expires only after five seconds."""
 
 LEASE_POLL_SECONDS = 0.7
-"""How often the daemons that stand ready look at the lease: a tenth of the time
-allowed, at four reads a second of the store's two thousand."""
+"""Poll interval of the lease for candidates. It is a tenth of the time allowed, at four
+reads per second of the two thousand that the store serves."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformPeers:
-    """This daemon among its peers.
+    """The components that connect this daemon with its peers.
 
     Attributes:
-        topology_tracker: Where this daemon stands.
+        topology_tracker: Computes the topology of the fleet.
     """
 
     members: MemberKeeper
@@ -96,27 +98,27 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightsDuty:
-    """The duty of bringing new weights to the targets."""
+    """The duty of rolling out new weights to the targets."""
 
     rollout: WeightsRollout
     duty: DutyRunner
 
     def components(self) -> list[Component]:
-        """Return the parts in the order of their start."""
+        """Return the components in start order."""
         return [self.rollout, self.duty]
 
     async def release(self) -> None:
-        """Give the lease up, and begin no further change."""
+        """Release the lease and start no further changes."""
         await self.duty.stop()
         await self.rollout.stop()
 
 
 def make_platform_peers(base: PlatformBase, quotas: FleetQuotas) -> PlatformPeers:
-    """Return members and links; nothing is opened yet.
+    """Return members and links without opening any connection.
 
     Args:
-        base: What the parts have in common.
-        quotas: Says with whom the customers' quotas are shared.
+        base: The state shared by the components.
+        quotas: Lists the daemons to exchange quota counts with.
     """
     node = base.node
     me = Member(
@@ -129,7 +131,7 @@
         started_wall_seconds=base.clock.wall_seconds(),
         capacity=node.capacity,
     )
-    # Members alone are kept here; the targets come from the platform's own list.
+    # Only members are kept here; the targets come from the platform's own list.
     view = make_view(Configuration(revision=0))
     chooser = EntryChooser()
     members = make_member_keeper(
@@ -174,10 +176,10 @@
     quota_listeners: tuple[DaemonId, ...],
     members: tuple[Member, ...],
 ) -> tuple[Member, ...]:
-    """Return the members to hold links with, beside the rings.
+    """Return the members to hold links with, in addition to the rings.
 
-    With those who share quotas longer than they are mates: a daemon that leaves goes
-    on taking requests for some seconds, which must be counted.
+    Daemons that share quotas keep their links longer than other peers: a leaving daemon
+    accepts requests for some more seconds, and these must be counted.
     """
     topology = topology_tracker.topology()
     names = {*topology.peers, *topology.sources, *quota_listeners}
@@ -197,12 +199,12 @@
     """Return the weights duty of this daemon.
 
     Args:
-        base: What the parts have in common.
-        peers: Who else stands ready, and who is told of changes.
+        base: The state shared by the components.
+        peers: The other candidates, and the daemons that are notified of changes.
         targets: The targets to change.
-        orders: Orders to them and their reports.
-        get_table: The route table in force; it says which groups serve a model.
-        count_running: Returns how many requests run at a target.
+        orders: Sends orders to targets and reads their reports.
+        get_table: Returns the route table, which says which groups serve a model.
+        count_running: Returns the number of requests running at a target.
     """
     daemon = base.node.daemon
     rollout = WeightsRollout(
@@ -232,7 +234,9 @@
         LEASE_MARGIN_SECONDS,
         base.node.bounds.lease_seconds + ORDER_GAP_MARGIN_SECONDS,
     )
-    peers.exchange.subscribe(LeaseNews, lambda news, _: _receive_lease(leases, news))
+    peers.exchange.subscribe(
+        LeaseNews, lambda update, _: _receive_lease(leases, update)
+    )
     duty = DutyRunner(
         leases,
         WEIGHTS_DUTY,
@@ -251,23 +255,23 @@
 
 
 def _entry_members(members: MemberKeeper) -> tuple[Member, ...]:
-    """Return the members that stand ready: only these know what runs at a target."""
+    """Return the entry daemons, which alone know what runs at a target."""
     entry = members.entry()
     return tuple(item for item in members.members() if item.daemon in entry)
 
 
 def _publish_lease(peers: PlatformPeers, lease: Lease, is_released: bool) -> None:
-    """Tell those who stand ready, so that they need not read the row."""
-    news = LeaseNews(duty=lease.duty, version=lease.version, is_released=is_released)
-    for mate in peers.topology_tracker.topology().peers:
-        peers.exchange.send(mate, news)
+    """Notify the other candidates, so that they need not read the lease row."""
+    update = LeaseNews(duty=lease.duty, version=lease.version, is_released=is_released)
+    for peer in peers.topology_tracker.topology().peers:
+        peers.exchange.send(peer, update)
 
 
-def _receive_lease(leases: LeaseKeeper, news: LeaseNews) -> None:
-    if news.is_released:
-        leases.note_released(news.duty)
+def _receive_lease(leases: LeaseKeeper, update: LeaseNews) -> None:
+    if update.is_released:
+        leases.note_released(update.duty)
     else:
-        leases.note_told(news.duty, news.version)
+        leases.note_told(update.duty, update.version)
 
 
 def _groups_of(table: RouteTable | None, model: ModelId) -> tuple[TargetGroupId, ...]:
--- a/lycheepost/app/platformrun.py
+++ b/lycheepost/app/platformrun.py
@@ -1,8 +1,8 @@
-"""Run a daemon on the users' platform: ``python3 -m lycheepost.app.platformrun``.
+"""Runs a daemon on the users' platform: ``python3 -m lycheepost.app.platformrun``.
 
-``lycheepost serve --node-file`` does the same by the command line. The platform
-starts this module instead, because a daemon needs no command line, and the library
-that reads it takes 11 MB and a tenth of a second of each start.
+``lycheepost serve --node-file`` does the same from the command line. The platform
+starts this module instead because the command-line library, which a daemon doesn't
+need, takes 11 MB of memory and a tenth of a second at each start.
 """
 
 import os
@@ -24,10 +24,10 @@
 )
 
 METRICS_VARIABLE = "LYCHEEPOST_METRICS_PORT"
-"""Another port for metrics, where several daemons share an address."""
+"""Overrides the metrics port, for several daemons on one address."""
 
 SWITCHED_OFF_VARIABLE = "LYCHEEPOST_SWITCHED_OFF"
-"""Mechanisms of the decisions that are not used, joined by commas."""
+"""Disabled mechanisms of the decisions, separated by commas."""
 
 BAD_SETTINGS = 2
 FAILED = 1
@@ -54,7 +54,8 @@
 
 
 def _serve(node: NodeSettings, sockets: EarlySockets, node_file: pathlib.Path) -> int:
-    # Loaded only now: it takes half a second, in which connections wait.
+    # Imported after the sockets are open: the import takes half a second, in which
+    # connections wait in the accept queue.
     from lycheepost.app.platformdaemon import METRICS_PORT, make_platform_daemon
     from lycheepost.app.run import run_until_signal
     from lycheepost.decide.mechanisms import parse_mechanisms
@@ -64,7 +65,10 @@
 
     metrics_port = os.environ.get(METRICS_VARIABLE, str(METRICS_PORT))
     if not metrics_port.isdigit():
-        print(f"{METRICS_VARIABLE} is {metrics_port!r}, no port.", file=sys.stderr)
+        print(
+            f"{METRICS_VARIABLE} is {metrics_port!r}, which is not a port.",
+            file=sys.stderr,
+        )
         return BAD_SETTINGS
     match parse_mechanisms(os.environ.get(SWITCHED_OFF_VARIABLE, "")):
         case Success(switched_off):
--- a/lycheepost/app/platformtraffic.py
+++ b/lycheepost/app/platformtraffic.py
@@ -1,4 +1,4 @@
-"""The parts of a daemon on the platform that carry requests."""
+"""The components of a daemon on the platform that carry requests."""
 
 import itertools
 import math
@@ -47,38 +47,38 @@
 from lycheepost.utils.metrics import Metrics
 
 CONNECT_SECONDS = 0.25
-"""Longest wait for a connection to a target, which takes a few milliseconds. A
-target that went dark takes none; a request that goes elsewhere after this time is
-still on time."""
+"""Time-out for connecting to a target, which normally takes a few milliseconds. An
+unreachable target never accepts; after this time-out a request can still be served in
+time by another target."""
 
 USED_RETRY_SHARE = 0.85
-"""Part of the allowed repeats that is used; the rest covers what is not counted
-here, such as requests that the daemons see differently than the clients."""
+"""Share of the allowed retries that is used. The rest covers retries that aren't
+counted here, such as requests that daemons and clients count differently."""
 
 ENTRY_RETRY_SHARE = 0.7
-"""Part of the repeats that the entry daemons of a large fleet divide among them."""
+"""Share of the retry budget that the entry daemons of a large fleet divide."""
 
 MIN_RETRY_SHARES = 4
-"""Repeats are divided among at least so many: a daemon that has not yet heard of its
-peers must not take all of them."""
+"""Minimum number of daemons that the retry budget is divided by, so that a daemon that
+doesn't know its peers yet doesn't use all of it."""
 
 MAX_TARGETS_PER_REQUEST = 6
-"""Targets that one request may be sent to before it is given up; how many of them may
-run it is its route's business."""
+"""Number of targets that a request may be sent to before it fails. The route limits how
+many of them may run it."""
 
 ADMIT_SHARE = 0.9
-"""Part of a caller's patience that a predicted wait may take. Late answers are still
-worth a third here, and what waits inside the engines is bounded."""
+"""Share of a caller's time-out that a predicted wait may take. Late responses still
+have a third of their value here, and the queues inside the engines are bounded."""
 
 PREFILL_SECONDS_PER_TOKEN = 25e-6
-"""Until the targets' own speed is known."""
+"""Prefill time assumed until a target's throughput is known."""
 
 _log = structlog.get_logger(part="targets")
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformTraffic:
-    """What carries requests."""
+    """The components that carry requests."""
 
     dispatcher: Dispatcher
     client: ForwardClient
@@ -93,7 +93,7 @@
     quotas: QuotaExchange
 
     def components(self) -> list[Component]:
-        """Return the parts in the order of their start."""
+        """Return the components in start order."""
         return [
             self.client,
             self.orders,
@@ -106,7 +106,7 @@
         ]
 
     def set_topology(self, me: DaemonId, topology: FleetTopology) -> None:
-        """Follow the place of this daemon in the fleet."""
+        """Set the topology of the fleet as seen by this daemon."""
         self.loads.set_peers(topology.peers)
         self.notices.set_peers(topology.peers)
         self.quotas.set_topology(me, topology)
@@ -122,15 +122,15 @@
     first_reads: FirstReads,
     fleet_quotas: FleetQuotas,
 ) -> PlatformTraffic:
-    """Join the parts that carry requests; nothing is started yet.
+    """Build the components that carry requests without starting them.
 
     Args:
-        base: What the parts have in common.
+        base: The state shared by the components.
         exchange: Links to the peers, for losses and loads.
-        metrics: Where metrics go.
-        get_bounds: The bounds in force.
-        first_reads: Requests wait for these.
-        fleet_quotas: What customers may ask of the fleet.
+        metrics: Receives the metrics.
+        get_bounds: Returns the current bounds.
+        first_reads: The first reads of the tables, which requests wait for.
+        fleet_quotas: The customers' quotas for the whole fleet.
     """
     clock = base.clock
     switched_off = base.switched_off
@@ -183,7 +183,7 @@
 
     async def is_same_start(sent_to: ListedTarget) -> bool:
         if notices.is_backed_off(sent_to.target):
-            # It has asked for no request, and has answered a moment ago.
+            # It has asked for a pause, and has responded recently.
             return targets.is_start(sent_to.start)
         return await _is_same_start(targets, routing, orders, sent_to)
 
@@ -219,20 +219,20 @@
 
 
 def make_key_rule(bounds: Bounds) -> KeyRule:
-    """Return how long keys may be trusted."""
+    """Return the rule for how long confirmed keys are trusted."""
     return KeyRule(bounds.revoke_seconds, bounds.is_revoke_strict)
 
 
 def count_retry_shares(me: DaemonId, entry: frozenset[DaemonId], n_live: int) -> int:
-    """Return by how much the fleet's repeats are divided for one daemon.
+    """Return the divisor of the fleet's retry budget for one daemon.
 
-    Entry daemons share most of them. The others get few requests, but each must be
-    able to repeat some as soon as callers come to it.
+    Entry daemons share most of the budget. The others get few requests, but each must
+    be able to retry some as soon as callers use it.
 
     Args:
         me: The daemon.
         entry: The entry daemons.
-        n_live: All daemons that serve, these too.
+        n_live: Number of live daemons, including the entry daemons.
     """
     n_entry = len(entry)
     if n_entry >= n_live:
@@ -243,7 +243,7 @@
 
 
 def retry_terms(bounds: Bounds, n_daemons: int) -> RetryTerms:
-    """Return this daemon's part of the repeats that the fleet may send."""
+    """Return this daemon's share of the fleet's retry budget."""
     n_sharing = max(MIN_RETRY_SHARES, n_daemons)
     return RetryTerms(
         share=USED_RETRY_SHARE * bounds.retry_share,
@@ -267,10 +267,10 @@
     orders: ServerOrders,
     sent_to: ListedTarget,
 ) -> bool:
-    """Ask a target that lost a request whether it still is the start that it was.
+    """Return whether a target that lost a request is still the same incarnation.
 
-    A target may be back under its name at once. Engines state when they started; a
-    plain service only answers to its name, and its entry tells of the new start.
+    A target may restart under its name at once. Engines report their start time; a
+    plain service only passes the health check, and its entry shows the new start.
     """
     table = routing.table
     group = None if table is None else table.groups.get(sent_to.target_group)
@@ -291,7 +291,7 @@
 def _report_load(
     loads: LoadExchange, clock: Clock, sent_to: ListedTarget, head: AnswerHead
 ) -> None:
-    """Pass the load that a target states on to the decisions."""
+    """Pass the load in a response's headers to the scheduler."""
     if head.load is None:
         return
     loads.observe_report(
@@ -308,6 +308,6 @@
 
 
 def _request_ids(boot: str) -> Callable[[], RequestId]:
-    """Return a maker of ids that no other daemon and no earlier start can make."""
+    """Return a generator of ids that are unique across daemons and starts."""
     numbers = itertools.count(1)
     return lambda: RequestId(f"{boot}-{next(numbers)}")
--- a/lycheepost/app/quotas.py
+++ b/lycheepost/app/quotas.py
@@ -1,4 +1,4 @@
-"""Tell the peers what was let through of each customer's quota, and hear theirs."""
+"""Exchanges with the peers how much of each customer's quota was used."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -23,28 +23,28 @@
 from lycheepost.utils.tasks import start_task
 
 LOG_INTERVAL_SECONDS = 1.0
-"""Shortest time between two lines on who is heard, and between two sets of gauges."""
+"""Minimum interval between log lines on reachable peers, and between sets of gauges."""
 
 MAX_MEASURED_CUSTOMERS = 32
-"""Customers with gauges of their own, the first ones of whom requests were refused:
-each name stays in the metrics for good."""
+"""Maximum number of customers with gauges of their own; the first with refused requests
+get them. The limit bounds the metrics, which never drop a name."""
 
 IDLE_SECONDS = 0.4
-"""Between two looks at whether any customer has a quota."""
+"""Interval between checks for quotas while no customer has one."""
 
 _log = structlog.get_logger(part="quotas")
 
 
 class QuotaExchange:
-    """Keeps the quotas of this daemon and those of its peers together.
+    """Keeps the quota counts of this daemon and its peers in step.
 
     Args:
-        quotas: The quotas; nobody else passes news to them.
-        exchange: The links.
-        clock: The clock of the decisions.
-        metrics: Where gauges go.
-        get_peers: Returns the other daemons that serve, in a fleet in which all do;
-            None where ``set_topology`` tells.
+        quotas: The quotas; no other component passes updates to them.
+        exchange: The links to the peers.
+        clock: The clock that the scheduler uses.
+        metrics: Receives the gauges.
+        get_peers: Returns the other live daemons, in a fleet where all daemons are
+            entry daemons; None if ``set_topology`` is called instead.
     """
 
     def __init__(
@@ -62,42 +62,42 @@
         self._exchange = exchange
         self._clock = clock
         self._n_share_changes = 0
-        self._reported_seconds = float("-inf")
-        self._published_seconds = float("-inf")
-        self._full_report_seconds = float("-inf")
+        self._last_logged_seconds = float("-inf")
+        self._last_published_seconds = float("-inf")
+        self._last_full_report_seconds = float("-inf")
         self._task: asyncio.Task[None] | None = None
         exchange.subscribe(QuotaSpent, self._receive)
 
     async def start(self) -> None:
-        """Begin to tell."""
+        """Start sending counts."""
         self._task = start_task(self._run(), "quotas")
 
     async def drain(self) -> None:
-        """Go on: requests are let through until the end."""
+        """Do nothing: requests are admitted until the end of the drain."""
 
     async def stop(self) -> None:
-        """Stop telling."""
+        """Stop sending counts."""
         if self._task is not None:
             self._task.cancel()
 
     def status(self) -> dict[str, object]:
-        """Return what is left for each customer, as seen here."""
+        """Return each customer's remaining quota, as known to this daemon."""
         return self._quotas.status(self._clock.now_seconds())
 
     def set_table(self, table: RouteTable) -> None:
-        """Follow the quotas of the route table in force."""
+        """Set the quotas of the current route table."""
         self.set_quotas(table.quotas)
 
     def set_quotas(self, quotas: Mapping[CustomerId, Quota]) -> None:
-        """Follow the quotas in force."""
+        """Set the current quotas."""
         self._quotas.set_quotas(quotas, self._clock.now_seconds())
 
     def set_fleet(self, n_daemons: int) -> None:
-        """Follow how many daemons have a row in the store, once it was read."""
+        """Set the number of daemons that have a row in the store, once it was read."""
         self._quotas.set_fleet(n_daemons)
 
     def set_topology(self, me: DaemonId, topology: FleetTopology) -> None:
-        """Follow the place of this daemon in the fleet."""
+        """Set the topology of the fleet as seen by this daemon."""
         now_seconds = self._clock.now_seconds()
         if me in topology.entry:
             self._quotas.set_entry(topology.peers, now_seconds)
@@ -116,8 +116,8 @@
             try:
                 self._exchange_once(self._clock.now_seconds())
             except Exception:
-                # Without the next message the others would take this daemon for cut
-                # off, and hold their customers to a part of each quota for good.
+                # If the task ended, the peers would assume that this daemon is cut off
+                # and grant their customers only a part of each quota from then on.
                 _log.exception("quotas: one exchange failed")
 
     def _exchange_once(self, now_seconds: float) -> None:
@@ -127,26 +127,26 @@
         self._report(now_seconds)
 
     def _publish(self, now_seconds: float) -> None:
-        """Tell the listeners what was let through, or that this daemon lives."""
+        """Send the counts to the listeners, or a heartbeat without counts."""
         listeners = self._quotas.listeners(now_seconds)
         if not listeners:
             return
-        is_whole = now_seconds - self._full_report_seconds > WHOLE_SECONDS
-        news = self._quotas.news(is_whole, now_seconds)
-        is_due = now_seconds - self._published_seconds > HEARTBEAT_SECONDS
-        if not news.counts and not is_due:
+        is_whole = now_seconds - self._last_full_report_seconds > WHOLE_SECONDS
+        update = self._quotas.news(is_whole, now_seconds)
+        is_due = now_seconds - self._last_published_seconds > HEARTBEAT_SECONDS
+        if not update.counts and not is_due:
             return
-        self._published_seconds = now_seconds
+        self._last_published_seconds = now_seconds
         if is_whole:
-            self._full_report_seconds = now_seconds
-        message = to_message(news)
+            self._last_full_report_seconds = now_seconds
+        message = to_message(update)
         self._exchange.send_to_each(listeners, message)
 
     def _report(self, now_seconds: float) -> None:
-        """Log and measure, at most once a second."""
-        if now_seconds - self._reported_seconds < LOG_INTERVAL_SECONDS:
+        """Log changes and set gauges, at most once per ``LOG_INTERVAL_SECONDS``."""
+        if now_seconds - self._last_logged_seconds < LOG_INTERVAL_SECONDS:
             return
-        self._reported_seconds = now_seconds
+        self._last_logged_seconds = now_seconds
         self._log_share()
         for customer, meter in self._quotas.refused():
             if len(self._measured) < MAX_MEASURED_CUSTOMERS:
@@ -156,7 +156,7 @@
                 self._metrics.gauge(f"quota_refused.{customer}", meter.n_refused)
 
     def _log_share(self) -> None:
-        """Tell of a change of the daemons that are heard."""
+        """Log a change of the set of reachable daemons."""
         n_changes = self._quotas.n_share_changes
         if n_changes == self._n_share_changes:
             return
@@ -165,8 +165,8 @@
         _log.info("quotas: share changed", share=share, n_changes=n_changes)
 
     def _receive(self, message: QuotaSpent, sender: DaemonId) -> None:
-        news = from_message(message)
-        n_left_out = len(message.customers) - len(news.counts)
-        if n_left_out:
-            _log.warning("quotas: counts left out", sender=sender, n=n_left_out)
-        self._quotas.hear(sender, news, self._clock.now_seconds())
+        update = from_message(message)
+        n_invalid = len(message.customers) - len(update.counts)
+        if n_invalid:
+            _log.warning("quotas: invalid counts ignored", sender=sender, n=n_invalid)
+        self._quotas.hear(sender, update, self._clock.now_seconds())
--- a/lycheepost/app/rawlistener.py
+++ b/lycheepost/app/rawlistener.py
@@ -1,4 +1,4 @@
-"""A listener whose requests all go to one handler, without routes of our own."""
+"""A listener that passes all requests to one handler, without a route table."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -9,16 +9,16 @@
 from lycheepost.app.earlysockets import BACKLOG
 
 KEEP_ALIVE_SECONDS = 75.0
-"""Clients keep idle connections for up to 15 seconds at present deployments; who
-closes first must not be this side, or a request would cross the close."""
+"""Clients of present deployments keep idle connections for up to 15 seconds. The client
+must close first, or it may send a request on a connection that is being closed."""
 
 LINGER_SECONDS = 2.0
-"""After an answer that came before the end of its request's body the rest is read on
-for so long: a client that still sends would lose the answer to a reset. It is enough
-for the largest body that operators allow at two megabytes a second."""
+"""How long the rest of a request body is read after an early response. Otherwise a
+client that is still sending would get a reset and lose the response. The time is enough
+for the largest body that operators allow, at two megabytes per second."""
 
 MAX_HEADER_BYTES = 32 * 1024
-"""Longest line or header; twice what operators allow today."""
+"""Maximum length of a line or header; twice what operators currently allow."""
 
 MAX_HEADERS = 128
 
@@ -31,9 +31,9 @@
     """One port and its handler.
 
     Args:
-        name: Stands in logs.
-        handler: Gets every request, whatever its path.
-        listening: An open socket; closed with the listener.
+        name: Name used in logs.
+        handler: Handles every request, whatever its path.
+        listening: A listening socket; closed with the listener.
     """
 
     def __init__(self, name: str, handler: Handler, listening: socket.socket) -> None:
@@ -43,12 +43,12 @@
         self._runner: web.ServerRunner | None = None
 
     async def start(self) -> None:
-        """Serve the connections that wait and those that come."""
+        """Start serving, including connections already in the accept queue."""
         server = web.Server(
             self._handler,
-            # A client that leaves must let its target stop at once.
+            # When a client disconnects, its run at the target is cancelled at once.
             handler_cancellation=True,
-            # A body goes on as it came, whatever it is encoded with.
+            # Bodies are forwarded unchanged, whatever their encoding.
             auto_decompress=False,
             access_log=None,
             keepalive_timeout=KEEP_ALIVE_SECONDS,
@@ -65,9 +65,9 @@
         _log.info("app: listening", name=self._name, port=port)
 
     async def drain(self) -> None:
-        """Go on listening: whoever owns the requests waits for them."""
+        """Do nothing: the owner of the requests waits for them."""
 
     async def stop(self) -> None:
-        """Close the port and what connections are left."""
+        """Close the port and the remaining connections."""
         if self._runner is not None:
             await self._runner.cleanup()
--- a/lycheepost/app/run.py
+++ b/lycheepost/app/run.py
@@ -1,4 +1,4 @@
-"""Run an application object until a signal asks it to stop."""
+"""Runs an application until a signal stops it."""
 
 import asyncio
 import signal
@@ -17,7 +17,7 @@
     """The life-cycle hooks of a whole process."""
 
     async def start(self) -> None:
-        """Start; when it returns the process serves."""
+        """Start; the process serves once this returns."""
         ...
 
     async def drain(self) -> None:
@@ -31,10 +31,10 @@
 
 @runtime_checkable
 class Reloadable(Protocol):
-    """An application that follows changes of its settings while it runs."""
+    """An application that can reload its settings while it runs."""
 
     async def reload(self) -> None:
-        """Read the settings again and follow what can be followed."""
+        """Reload the settings and apply those that can change at run time."""
         ...
 
 
@@ -44,11 +44,11 @@
 ) -> None:
     """Run on uvloop until SIGTERM or SIGINT.
 
-    The first signal drains, a second one stops at once. SIGHUP reads the settings
-    again where the application can; it never ends the process.
+    The first signal drains, a second one stops at once. SIGHUP reloads the settings
+    if the application supports it; it never ends the process.
 
     Args:
-        make_application: Called inside the loop.
+        make_application: Creates the application; called inside the event loop.
         on_started: Awaited after the start, for instance to print addresses.
     """
     uvloop.run(_serve(make_application, on_started))
@@ -78,7 +78,7 @@
 async def _wait_to_stop(
     application: Application, signals: "asyncio.Queue[signal.Signals]"
 ) -> signal.Signals:
-    """Return the signal to stop; reload on each signal to do so."""
+    """Return the first signal to stop; reload on each SIGHUP before it."""
     while True:
         received = await signals.get()
         if received is not signal.SIGHUP:
@@ -86,7 +86,7 @@
         if isinstance(application, Reloadable):
             await application.reload()
         else:
-            _log.info("app: settings are read at the start only")
+            _log.info("app: reload not supported; settings are read at the start only")
 
 
 async def _drain_or_second_signal(
--- a/lycheepost/app/settings.py
+++ b/lycheepost/app/settings.py
@@ -1,7 +1,7 @@
-"""Read a settings file and check it as a whole.
+"""Reads and validates a settings file.
 
-The schema gives the shape and each field's range. What concerns several fields
-at once is checked here; all faults of both kinds are reported together.
+The schema defines the structure and the range of each field. Constraints between
+several fields are checked here. All faults of both kinds are reported together.
 """
 
 import pathlib
@@ -29,7 +29,7 @@
 
 
 def check_settings(document: Any) -> Result[Settings, list[Fault]]:
-    """Check a parsed settings document and return the record."""
+    """Validate a parsed settings document and convert it to a record."""
     faults = check_document("settings", document)
     if isinstance(document, dict):
         faults += _check_fallback(document.get("fallback_configuration"))
@@ -55,10 +55,10 @@
 
 
 def fallback_configuration(settings: Settings) -> Configuration:
-    """Return the configuration to serve from when nobody answers at start.
+    """Return the configuration used when no source responds at the start.
 
-    Its revision is zero whatever the file says: any revision that was ever
-    accepted must win over it.
+    Its revision is zero whatever the file says, so that any accepted revision takes
+    precedence over it.
     """
     document = settings.fallback_configuration or {}
     match convert_document("configuration", document | {"revision": 0}, Configuration):
@@ -70,7 +70,7 @@
 
 
 def check_relations(settings: Settings) -> list[Fault]:
-    """Return the faults that lie between fields."""
+    """Return violations of constraints between fields."""
     return [
         *_check_lease(settings),
         *_check_orders(settings),
--- a/lycheepost/app/settingswatch.py
+++ b/lycheepost/app/settingswatch.py
@@ -1,10 +1,10 @@
-"""Follow changes of the platform's settings file while the daemon runs.
+"""Reloads the platform's settings file when it changes.
 
-The platform may tell of a change by a signal, or not at all, so the file is looked at
-every few seconds as well. Bounds are followed at once, but for the time between two
-holders' orders, which counts from the next start, as does what says where this
-process listens or who it is; a log line says so. A file that cannot be read changes
-nothing.
+The platform may signal a change or not, so the modification time is also polled every
+``POLL_SECONDS``. Bounds take effect at once, except the time between two holders'
+orders. That one takes effect at the next start, as do the listening addresses and the
+identity of this process; a log line lists such changes. A file that cannot be read
+changes nothing.
 """
 
 import asyncio
@@ -18,20 +18,20 @@
 from lycheepost.utils.tasks import start_task
 
 POLL_SECONDS = 2.0
-"""The file is small, and a look costs one question for its time of change."""
+"""Poll interval of the modification time; a poll costs one system call."""
 
 _log = structlog.get_logger(part="settings")
 
 
 class SettingsWatch:
-    """The settings in force.
+    """The current settings.
 
     Args:
-        node: What was read at the start.
-        path: Where from; None when there is no file.
+        node: The settings read at the start.
+        path: The file that they were read from; None if there is no file.
 
     Attributes:
-        bounds: The bounds in force.
+        bounds: The current bounds.
     """
 
     def __init__(self, node: NodeSettings, path: pathlib.Path | None) -> None:
@@ -42,19 +42,19 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to look."""
+        """Start polling the file."""
         self._task = start_task(self._run(), "settings")
 
     async def drain(self) -> None:
-        """Go on: bounds still count."""
+        """Do nothing: bounds still apply during the drain."""
 
     async def stop(self) -> None:
-        """Stop looking."""
+        """Stop polling the file."""
         if self._task is not None:
             self._task.cancel()
 
     def reload(self) -> None:
-        """Read the file and follow what has changed."""
+        """Read the file and apply what has changed."""
         if self._path is None:
             return
         self._read_modified_ns = self._modified_ns()
@@ -63,7 +63,9 @@
                 self._apply(node)
             case Failure(error):
                 faults = list(error.faults)
-                _log.error("settings: kept", reason=error.reason, faults=faults)
+                _log.error(
+                    "settings: reload failed", reason=error.reason, faults=faults
+                )
 
     def _apply(self, node: NodeSettings) -> None:
         changed = [
--- a/lycheepost/app/slopes.py
+++ b/lycheepost/app/slopes.py
@@ -1,7 +1,7 @@
-"""Measure what the joined daemon costs by the number of targets.
+"""Measures how the cost of the target feed and scheduler grows with the fleet.
 
-These are the costs that ``bench.slopes`` cannot reach from its layer: the feed
-that tells the scheduler of its targets, and the scheduler as the daemon uses it.
+``bench.slopes`` cannot import these from its layer: the feed that passes targets to
+the scheduler, and the scheduler as the daemon uses it.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 class _FeedFixture:
-    """A feed over a scheduler, with a view that can be replaced."""
+    """A feed and its scheduler, with a replaceable configuration view."""
 
     def __init__(self, n_targets: int) -> None:
         self.configuration = make_configuration(N_CUSTOMERS, n_targets)
@@ -42,7 +42,7 @@
         self.feed.feed()
 
     def change(self) -> None:
-        """Adopt one change and feed it."""
+        """Apply one configuration change and feed it."""
         self.configuration = with_one_changed(
             self.configuration, self.configuration.revision
         )
@@ -51,7 +51,7 @@
 
 
 def measure_daemon_slopes() -> list[Slope]:
-    """Measure the feed and the scheduler at several numbers of targets."""
+    """Measure the feed and the scheduler for several numbers of targets."""
     return asyncio.run(_measure())
 
 
@@ -68,7 +68,7 @@
         memory[n_targets] = allocated_megabytes(partial(_FeedFixture, n_targets))
     size = "targets"
     return [
-        fit_slope("target feed", "one look, milliseconds", size, poll, 12_000),
+        fit_slope("target feed", "one poll, milliseconds", size, poll, 12_000),
         fit_slope("target feed", "one change, milliseconds", size, change, 12_000),
         fit_slope("scheduler", "one tick, microseconds", size, tick, 12_000),
         fit_slope(
--- a/lycheepost/app/standin.py
+++ b/lycheepost/app/standin.py
@@ -1,4 +1,4 @@
-"""One stand-in as a process of its own."""
+"""Runs one stand-in as a separate process."""
 
 from enum import Enum
 from typing import Protocol
@@ -23,7 +23,7 @@
 
 
 class StandinKind(Enum):
-    """What a stand-in process can be."""
+    """The service that a stand-in process imitates."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -34,19 +34,19 @@
 
 
 class Standin(Protocol):
-    """A stand-in with its HTTP face."""
+    """A stand-in with an HTTP server."""
 
     @property
     def url(self) -> str:
-        """Return the base address."""
+        """Return the base URL."""
         ...
 
     async def start(self) -> str:
-        """Listen and return the base address."""
+        """Start listening and return the base URL."""
         ...
 
     async def stop(self) -> None:
-        """Cut all connections and stop."""
+        """Close all connections and stop."""
         ...
 
 
@@ -57,11 +57,11 @@
         self.standin = standin
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         await self.standin.start()
 
     async def drain(self) -> None:
-        """Do nothing: what a stand-in stands for may vanish at any time."""
+        """Do nothing: the imitated service may disappear at any time."""
 
     async def stop(self) -> None:
         """Stop listening."""
@@ -69,7 +69,7 @@
 
 
 def make_standin(kind: StandinKind, settings: StandinSettings) -> Standin:
-    """Return a stand-in of one kind; nothing is started yet."""
+    """Return a stand-in of the given kind without starting it."""
     match kind:
         case StandinKind.ENGINE:
             return _make_engine(settings)
--- a/lycheepost/app/standins.py
+++ b/lycheepost/app/standins.py
@@ -1,8 +1,8 @@
 """A small deployment of stand-ins on loopback ports, as tasks of one process.
 
-Engines, plain services and the platform's four services, with the
-configuration that describes them. The demo and whole-system tests run daemons
-against it over HTTP, as they would against the real ones.
+It consists of engines, plain services and the platform's four services, with the
+configuration that describes them. The demo and whole-system tests run daemons against
+it over HTTP, as they would against the real services.
 """
 
 from collections.abc import Callable, Sequence
@@ -48,16 +48,16 @@
 
 HOST = "127.0.0.1"
 _WEIGHTS_BYTES = 16_000_000_000
-"""An 8-billion-parameter model in half precision."""
+"""Size of an 8-billion-parameter model in half precision."""
 
 
 @dataclass(frozen=True)
 class FleetShape:
-    """How large the stand-in deployment is.
+    """The size and names of a stand-in deployment.
 
     Attributes:
         customers: Names, the largest customer first.
-        concurrent_loads: Targets that may load weights at once.
+        concurrent_loads: Number of targets that may load weights at once.
     """
 
     availability_zones: tuple[str, ...]
@@ -75,8 +75,8 @@
     """The running stand-ins.
 
     Attributes:
-        keys: A caller key for each customer, the largest first.
-        table: The model behind the table service; faults are set on it.
+        keys: A caller key for each customer, the largest customer first.
+        table: The model of the table service; tests inject faults into it.
     """
 
     def __init__(self, shape: FleetShape) -> None:
@@ -109,7 +109,7 @@
         )
 
     async def start(self) -> None:
-        """Open all ports and list the targets' VMs."""
+        """Open all ports and add the targets' VMs to the VM list."""
         for server in self._servers.values():
             await server.start()
         for standin in self._targets():
@@ -150,7 +150,7 @@
                 Customer(
                     customer=name,
                     key_hashes=[hash_key(key)],
-                    # The first two are the large ones.
+                    # The first two customers are the large ones.
                     share_weight=4.0 if index < 2 else 1.0,
                 )
                 for index, (name, key) in enumerate(self.keys.items())
@@ -180,7 +180,7 @@
         )
 
     def evidence(self) -> Evidence:
-        """Return what the targets recorded, for the audit."""
+        """Return the runs recorded by the targets, for the audit."""
         return collect_evidence(self.engines, self.services)
 
     def _make_engine(self, index: int) -> EngineStandin:
--- a/lycheepost/app/status.py
+++ b/lycheepost/app/status.py
@@ -1,4 +1,4 @@
-"""The fleet as one daemon sees it, for operators."""
+"""The fleet status for operators, as seen by one daemon."""
 
 from lycheepost.core.ids import TargetId
 from lycheepost.decide.records import TargetState
--- a/lycheepost/app/ticker.py
+++ b/lycheepost/app/ticker.py
@@ -1,4 +1,4 @@
-"""A task that lets time pass for parts that have no task of their own."""
+"""A periodic task for components that have no task of their own."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,16 +8,16 @@
 from lycheepost.utils.tasks import start_task
 
 REFRESH_SECONDS = 0.2
-"""How soon a target that was left alone is seen to be due again."""
+"""Maximum delay until a target whose pause has ended is used again."""
 
 _log = structlog.get_logger(part="app")
 
 
 class Ticker:
-    """Calls a function five times a second.
+    """Calls a function five times per second.
 
     Args:
-        on_tick: What to call; a fault in one call does not keep the next.
+        on_tick: The function; an exception in one call doesn't prevent the next.
     """
 
     def __init__(self, on_tick: Callable[[], None]) -> None:
@@ -25,14 +25,14 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin."""
+        """Start the task."""
         self._task = start_task(self._run(), "ticker")
 
     async def drain(self) -> None:
-        """Go on: requests in flight still need targets."""
+        """Do nothing: requests in flight still need targets."""
 
     async def stop(self) -> None:
-        """Stop."""
+        """Stop the task."""
         if self._task is not None:
             self._task.cancel()
 
@@ -42,6 +42,6 @@
             try:
                 self._on_tick()
             except Exception:
-                # Without the next tick no target would ever be used again after a
-                # rest, and no change of the members be followed.
+                # If the task ended, no target would be used again after a pause and
+                # no change of the members would be applied.
                 _log.exception("app: a tick failed")
--- a/lycheepost/app/traffic.py
+++ b/lycheepost/app/traffic.py
@@ -1,4 +1,4 @@
-"""The parts that carry requests: scheduler, clients of targets, callers' front."""
+"""The components that carry requests: scheduler, target clients, callers' front."""
 
 import asyncio
 import itertools
@@ -54,12 +54,11 @@
 from lycheepost.utils.metrics import Metrics
 
 CONNECT_FAILURE_SECONDS = 2.0
-"""A target that refused a connection gets no new work for this long; its health
-answers tell meanwhile whether it is back."""
-
+"""A target that refused a connection gets no new requests for this long. Meanwhile its
+health checks show whether it is back."""
 
 INCARNATION_TIMEOUT_SECONDS = 0.5
-"""An engine answers for its health in milliseconds, or it is in trouble."""
+"""Time-out of the health check; a healthy engine responds within milliseconds."""
 
 
 @dataclass
@@ -71,7 +70,7 @@
 
 @dataclass(frozen=True)
 class Traffic:
-    """The parts that carry requests; made by ``make_traffic``."""
+    """The components that carry requests; built by ``make_traffic``."""
 
     dispatcher: Dispatcher
     engines: EngineClient
@@ -85,7 +84,7 @@
     quotas: QuotaExchange
 
     def components(self) -> list[Component]:
-        """Return the parts in the order in which to start them."""
+        """Return the components in start order."""
         return [
             self.engines,
             self.services,
@@ -107,16 +106,16 @@
     status: Callable[[], dict[str, Any]],
     fleet_quotas: FleetQuotas,
 ) -> Traffic:
-    """Join the parts that carry requests.
+    """Build the components that carry requests.
 
     Args:
-        settings: Checked settings.
+        settings: Validated settings.
         state: The shared state of this daemon.
-        recorder: Counts every finished request.
-        metrics: Where metrics go.
-        clock: Tells the time.
-        status: The answer of ``/admin/status``.
-        fleet_quotas: What customers may ask of the fleet.
+        recorder: Records every finished request.
+        metrics: Receives the metrics.
+        clock: The clock.
+        status: Returns the response body of ``/admin/status``.
+        fleet_quotas: The customers' quotas for the whole fleet.
     """
     me = state.members.me()
     seed = hash_bytes(me.boot.encode())
@@ -151,8 +150,8 @@
         on_targets,
     )
     LossExchange(dispatcher, state.exchange, clock)
-    # A daemon that has just got its first configuration must find targets at
-    # once; until the next look it would refuse with "no target".
+    # The first configuration is fed at once. Otherwise requests would be refused with
+    # "no target" until the next periodic feed.
     state.revisions.subscribe(lambda _view: feed.feed())
     quotas = QuotaExchange(
         fleet_quotas,
@@ -235,7 +234,7 @@
 
 
 def serving_peers(members: MemberKeeper) -> tuple[DaemonId, ...]:
-    """Return the other daemons that callers may be sent to."""
+    """Return the other live daemons, whose addresses callers may get."""
     me = members.me().daemon
     return tuple(
         member.daemon
@@ -245,7 +244,7 @@
 
 
 def engine_targets(view: ConfigurationView) -> list[Target]:
-    """Return the targets that can be asked for an engine's reports."""
+    """Return the targets that provide engine reports."""
     engines = {
         name
         for name, group in view.target_groups.items()
@@ -260,6 +259,6 @@
 
 
 def _request_ids(prefix: str) -> Callable[[], RequestId]:
-    """Return a maker of ids that no other daemon and no earlier start can make."""
+    """Return a generator of ids that are unique across daemons and starts."""
     numbers = itertools.count(1)
     return lambda: RequestId(f"{prefix}-{next(numbers)}")
--- a/lycheepost/app/weightsdue.py
+++ b/lycheepost/app/weightsdue.py
@@ -1,4 +1,4 @@
-"""Tell daemons that start until when older weights may be served."""
+"""Notifies starting daemons until when older weights may be served."""
 
 from lycheepost.core.clock import Clock
 from lycheepost.core.ids import DaemonId, ModelId
@@ -8,7 +8,7 @@
 
 
 class WeightsDueExchange:
-    """Answers the greeting of each peer; it has no task of its own."""
+    """Replies to the hello message of each peer; it has no task of its own."""
 
     def __init__(
         self, exchange: PeerExchange, targets: TargetList, clock: Clock
--- a/tools/faultsoak.py
+++ b/tools/faultsoak.py
@@ -176,10 +176,10 @@
     faults.clear()
 
 
-async def name_weights(run: SoakRun, _daemon: DaemonProcess) -> None:
+async def publish_weights(run: SoakRun, _daemon: DaemonProcess) -> None:
     """Name new weights."""
     run.weights += 1
-    run.fleet.name_weights(run.weights)
+    run.fleet.publish_weights(run.weights)
 
 
 async def configure(run: SoakRun, _daemon: DaemonProcess) -> None:
@@ -230,7 +230,7 @@
     disturb_client_link,
     disturb_server_link,
     disturb_store,
-    name_weights,
+    publish_weights,
     configure,
     leave,
     shed,
