--- a/features/app/commands.feature
+++ b/features/app/commands.feature
@@ -21,7 +21,7 @@
   Scenario: All faults of a file are told at once
     Given a settings file that has three faults
     When "settings check" and "serve" read it
-    Then three faults are told and no secret is shown
+    Then three faults are reported and no secret is shown
 
   Scenario Outline: The examples are in order
     When "settings check" reads examples/<name>.yaml
--- a/features/app/compiled.feature
+++ b/features/app/compiled.feature
@@ -1,9 +1,9 @@
 Feature: A daemon that starts compiles nothing
 
   Scenario: Every module that a daemon loads is compiled in the build
-    All daemons are killed, and the platform starts them again where they may not
-    write. Each compiles its libraries anew, which takes over a second, and callers'
-    connections wait or are refused meanwhile.
+    The platform restarts killed daemons on a read-only file system. Without compiled
+    modules each start compiles the libraries for over a second, while callers'
+    connections wait or are refused.
     Given a folder that the deploy file's compile command has filled
-    When a process loads all that a daemon loads, with that folder
-    Then each module came from its compiled form
+    When a process imports all modules of a daemon, with that folder
+    Then each module is loaded from its compiled form
--- a/features/app/environment.py
+++ b/features/app/environment.py
@@ -1,7 +1,7 @@
 """Ends every process that a scenario started, by its id.
 
-What the processes of a failed scenario wrote is printed: without it nobody could tell
-why one of them did not come up.
+The output of the processes of a failed scenario is printed; it shows why a process did
+not start.
 """
 
 LAST_CHARACTERS = 4000
--- a/features/app/logwriter.feature
+++ b/features/app/logwriter.feature
@@ -1,20 +1,20 @@
 Feature: Log lines that never make the daemon wait
 
   Scenario: Nobody reads the logs
-    Standard output is a pipe whose reader has stopped. A daemon that waited for it
-    would serve nobody.
+    Standard output is a pipe whose reader has stopped. A blocking write would stop the
+    daemon.
     Given a pipe that nobody reads
     When 2000 lines of 1000 bytes are written
-    Then writing never waited, and some lines were dropped
+    Then writing never blocked, and some lines were dropped
     When the reader reads again and one more line is written
-    Then a line tells how many were dropped
+    Then a line reports how many were dropped
 
   Scenario: More lines than any reader needs are dropped and counted
     Given a pipe that is read all the time
     When 5000 short lines are written in one moment
-    Then 1500 lines came
+    Then 1500 lines arrived
     When 10 s pass and one more line is written
-    Then a line tells that 3500 were dropped
+    Then a line reports that 3500 were dropped
 
   Scenario: Whoever read the logs has gone
     Given a pipe whose reader has gone
--- a/features/app/losses.feature
+++ b/features/app/losses.feature
@@ -1,12 +1,11 @@
 Feature: Daemons tell each other which requests their targets died of
 
   Scenario Outline: A killer is known everywhere although a time of day is <offset> s off
-    A request kills the target that runs it and comes back through another daemon,
-    which kills the next. The time of day has jumped on one of the daemons: by the
-    clock on the wall the second run seems to have begun before the first was lost,
-    so that the two losses count as one.
+    A request crashes the target that runs it, is retried through another daemon, and
+    crashes the next target. The wall clock of one daemon has jumped. By wall-clock times
+    the second run would begin before the first loss, and both would count as one loss.
     Given two daemons whose times of day differ by <offset> s
-    When a request kills a target through each of them in turn
+    When a request crashes a target through each of them in turn
     Then both refuse it from then on
 
     Examples:
@@ -16,17 +15,17 @@
       | -5     |
 
   Scenario: A quarantine lasts as long at a daemon whose time of day is ahead
-    The end of a quarantine was told as a time of day. To a daemon whose clock had
-    jumped ahead it was over at once, so that the killer ran there again.
+    If the end of a quarantine is sent as a wall-clock time, it has already passed for a
+    daemon whose clock has jumped ahead, and the request runs there again.
     Given two daemons whose times of day differ by 700 s
-    When a request kills a target through each of them in turn
+    When a request crashes a target through each of them in turn
     Then both refuse it for 600 s
 
   Scenario: A killer and an innocent suspect are not tried on one target at a time
-    Both died with one target and are tried again by two daemons at the same moment,
-    before either can hear where the other one tries. The killer takes its second target
-    with it, and the innocent request is refused for ten minutes.
+    Both requests were lost with one target, and two daemons retry them before either
+    is notified of the other's attempt. On the same target the one that crashes targets
+    would cause a second loss, and the other would be refused for ten minutes.
     Given two daemons whose times of day differ by 0 s
-    When a killer and an innocent request, each of its own daemon, are lost with one target
-    And both are tried again before either daemon hears of the other's try
-    Then they are tried on different targets
+    When a crashing and another request, each of its own daemon, are lost with one target
+    And both are retried before either daemon is notified of the other's attempt
+    Then they are retried on different targets
--- a/features/app/settingswatch.feature
+++ b/features/app/settingswatch.feature
@@ -6,24 +6,24 @@
     Then the watch has the bound of 3 s
 
   Scenario Outline: The bound on <bound> that changes while it runs is followed
-    An operator makes a bound shorter. A daemon that went on by the bound of its start
-    would refuse every key between two confirmations, serve weights for too long, or
-    send more repeats than are allowed.
+    An operator shortens a bound. A daemon that kept the bound of its start would refuse
+    every key between two confirmations, serve old weights for too long, or send more
+    retries than allowed.
     Given a platform daemon with a settings file
     When the bound on <bound> becomes <value>
-    Then the daemon goes by <seen>
+    Then the daemon applies <seen>
 
     Examples:
       | bound           | value | seen                         |
-      | revoke_ms       | 2500  | questions held for 0.52 s    |
-      | retry_ratio     | 0.4   | repeats of 0.34 per request  |
-      | retry_window_s  | 40    | a window of 40 s for repeats |
+      | revoke_ms       | 2500  | long polls of 0.52 s         |
+      | retry_ratio     | 0.4   | retries of 0.34 per request  |
+      | retry_window_s  | 40    | a window of 40 s for retries |
       | version_ms      | 4000  | old weights for 2.5 s        |
-      | ttl_max_s       | 0.5   | addresses kept for 0.5 s     |
+      | ttl_max_s       | 0.5   | addresses cached for 0.5 s   |
 
   Scenario Outline: A file that <fault> changes nothing
-    The file is being written while it is read, or was damaged. A daemon that took it
-    as it stands would lose its bounds, or its life.
+    The file is read while it is being written, or is damaged. A daemon that applied it
+    would lose its bounds or crash.
     Given a settings file of the platform and a watch on it
     When the file <fault>
     Then the watch has the bound of 5 s
@@ -39,13 +39,13 @@
       | has ports from last on   |
 
   Scenario: All faults of a settings file are told at once
-    When a settings file has no name, no store and a port of no number
-    Then all 3 faults are told
+    When a settings file has no name, no store and a port that is not a number
+    Then all 3 faults are reported
 
   Scenario: SIGHUP reads the settings again and does not end the process
-    A process that does not handle the signal is ended by it, with all its requests.
+    An unhandled SIGHUP ends the process and all its requests.
     Given a platform daemon as a process
     When it gets SIGHUP twice
-    Then it still answers, and its log tells of each reload
+    Then it still answers, and its log reports each reload
     When it gets SIGTERM
     Then it ends by itself with code 0
--- a/features/app/steps/commands.py
+++ b/features/app/steps/commands.py
@@ -12,7 +12,7 @@
 SECRET = "this-is-a-secret-of-wrong-type"
 
 
-def sound_settings():
+def valid_settings():
     url = "http://127.0.0.1:1"
     return {
         "deployment": "feature",
@@ -69,7 +69,7 @@
     if fault == "is not YAML":
         context.path.write_text("a: [")
         return
-    settings = break_settings(sound_settings(), fault)
+    settings = break_settings(valid_settings(), fault)
     context.path.write_text(yaml.safe_dump(settings))
 
 
@@ -90,7 +90,7 @@
         assert any(path in line and reason in line for line in lines), result.stderr
 
 
-@then("three faults are told and no secret is shown")
+@then("three faults are reported and no secret is shown")
 def then_three(context):
     for result in context.results:
         assert result.returncode == 2
@@ -111,7 +111,7 @@
 @given("a settings file whose port is taken")
 def given_taken(context):
     context.holder = socket.create_server(("127.0.0.1", 0))
-    settings = sound_settings()
+    settings = valid_settings()
     settings["listeners"]["callers_port"] = context.holder.getsockname()[1]
     context.path = pathlib.Path(tempfile.mkdtemp()) / "settings.yaml"
     context.path.write_text(yaml.safe_dump(settings))
--- a/features/app/steps/compiled_steps.py
+++ b/features/app/steps/compiled_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the modules that the deploy file's build compiles."""
+"""Steps of compiled.feature."""
 
 import json
 import os
@@ -33,7 +33,7 @@
 
 
 def run_python(context, words):
-    """Run this Python with the folder for compiled modules."""
+    """Run this Python interpreter with the folder of compiled modules."""
     libraries = [path for path in sys.path if path.endswith("site-packages")]
     return subprocess.run(
         [sys.executable, "-S", "-X", f"{PREFIX_OPTION}{context.folder}", *words],
@@ -53,11 +53,11 @@
     run_python(context, words[1:])
 
 
-@when("a process loads all that a daemon loads, with that folder")
+@when("a process imports all modules of a daemon, with that folder")
 def load_all(context):
     context.missing = json.loads(run_python(context, ["-B", "-c", LOAD]).stdout)
 
 
-@then("each module came from its compiled form")
+@then("each module is loaded from its compiled form")
 def check_compiled(context):
     assert context.missing == [], context.missing
--- a/features/app/steps/gauges.py
+++ b/features/app/steps/gauges.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from behave import given, then, when
-from commands import sound_settings
+from commands import valid_settings
 
 from lycheepost.app.daemon import make_daemon
 from lycheepost.app.gauges import GaugeReporter
@@ -19,7 +19,7 @@
     context.server = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     context.server.bind(("127.0.0.1", 0))
     context.server.settimeout(5)
-    settings = check_settings(sound_settings()).unwrap()
+    settings = check_settings(valid_settings()).unwrap()
     port = context.server.getsockname()[1]
     metrics = replace(settings.metrics, statsd_host="127.0.0.1", statsd_port=port)
     context.settings = replace(settings, metrics=metrics)
--- a/features/app/steps/logwriter_steps.py
+++ b/features/app/steps/logwriter_steps.py
@@ -46,9 +46,9 @@
         write(context, "x" * size)
 
 
-@then("writing never waited, and some lines were dropped")
+@then("writing never blocked, and some lines were dropped")
 def step_dropped(context):
-    # A write that waited would not have come back: nobody has read a byte.
+    # A blocking write would not have returned, since nothing was read.
     assert 0 < context.writer.n_dropped < 2000, context.writer.n_dropped
 
 
@@ -56,20 +56,20 @@
 def step_again(context):
     read(context)
     write(context, "the last")
-    # A pipe holds less than the writer keeps.
+    # A pipe holds less than the writer's buffer.
     for _ in range(10):
         read(context)
         context.writer.flush()
 
 
-def told(context):
+def count_dropped(context):
     lines = [line for line in context.output.splitlines() if "lines dropped" in line]
     return sum(json.loads(line)["n_lines"] for line in lines)
 
 
-@then("a line tells how many were dropped")
+@then("a line reports how many were dropped")
 def step_told(context):
-    assert told(context) == context.writer.n_dropped, told(context)
+    assert count_dropped(context) == context.writer.n_dropped, count_dropped(context)
     assert context.output.endswith("the last\n")
 
 
@@ -81,7 +81,7 @@
             read(context)
 
 
-@then("{n:d} lines came")
+@then("{n:d} lines arrived")
 def step_came(context, n):
     read(context)
     assert context.output.count("\n") == n, context.output.count("\n")
@@ -94,9 +94,9 @@
     read(context)
 
 
-@then("a line tells that {n:d} were dropped")
+@then("a line reports that {n:d} were dropped")
 def step_told_count(context, n):
-    assert told(context) == n, told(context)
+    assert count_dropped(context) == n, count_dropped(context)
 
 
 @then("nothing fails")
--- a/features/app/steps/losses_steps.py
+++ b/features/app/steps/losses_steps.py
@@ -14,7 +14,7 @@
 
 @dataclass
 class SteppedClock:
-    """Two daemons' steady clocks agree; their times of day may not."""
+    """A clock whose wall-clock time has an offset; the steady time has none."""
 
     offset_seconds: float
     steady_seconds: float = 1000.0
@@ -27,7 +27,7 @@
 
 
 class PairExchange:
-    """Passes what one daemon tells on to the other."""
+    """Delivers the messages of one daemon to the other."""
 
     def __init__(self):
         self.subscribers = {}
@@ -41,7 +41,7 @@
 
 
 class LossDaemon:
-    """A scheduler, and what it tells of losses."""
+    """A scheduler that exchanges its losses with a peer."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -52,9 +52,9 @@
         views = tuple(make_view(index) for index in range(4))
         self.scheduler.replace_targets(views, clock.now_seconds())
 
-    def run_killer(self, name):
+    def run_crashing_request(self, name):
         now_seconds = self.clock.now_seconds()
-        work = make_work(name, now_seconds, body="killer")
+        work = make_work(name, now_seconds, body="crashing")
         return self.scheduler.arrive(work, now_seconds)[0]
 
 
@@ -70,17 +70,17 @@
         daemon.clock.steady_seconds += seconds
 
 
-@when("a request kills a target through each of them in turn")
-def step_kills(context):
+@when("a request crashes a target through each of them in turn")
+def step_crashes(context):
     for number, daemon in enumerate(context.daemons):
-        sent = daemon.run_killer(f"run-{number}")
+        sent = daemon.run_crashing_request(f"run-{number}")
         wait(context, 0.2)
         daemon.dispatcher.finish(sent.request, FinishKind.TARGET_LOST)
         wait(context, 0.2)
 
 
 def refusals(context, name):
-    outcomes = [daemon.run_killer(name) for daemon in context.daemons]
+    outcomes = [daemon.run_crashing_request(name) for daemon in context.daemons]
     return [getattr(outcome, "reason", None) for outcome in outcomes]
 
 
@@ -98,9 +98,9 @@
 
 
 def send_both(context, name):
-    """Let the first daemon send the killer and the second the innocent request."""
+    """Let the first daemon run the crashing request, the second the other one."""
     sent = []
-    for daemon, body in zip(context.daemons, ("killer", "innocent"), strict=True):
+    for daemon, body in zip(context.daemons, ("crashing", "unrelated"), strict=True):
         now_seconds = daemon.clock.now_seconds()
         work = make_work(f"{name}-{body}", now_seconds, body=body)
         sent += daemon.scheduler.arrive(work, now_seconds)
@@ -108,7 +108,7 @@
 
 
 @when(
-    "a killer and an innocent request, each of its own daemon, are lost with one target"
+    "a crashing and another request, each of its own daemon, are lost with one target"
 )
 def step_both_lost(context):
     sent = send_both(context, "first")
@@ -119,12 +119,12 @@
     wait(context, 0.2)
 
 
-@when("both are tried again before either daemon hears of the other's try")
+@when("both are retried before either daemon is notified of the other's attempt")
 def step_both_again(context):
     context.tried = send_both(context, "second")
 
 
-@then("they are tried on different targets")
+@then("they are retried on different targets")
 def step_apart(context):
     first, second = context.tried
     assert first.target != second.target, context.tried
--- a/features/app/steps/processes.py
+++ b/features/app/steps/processes.py
@@ -1,4 +1,4 @@
-"""Steps on stand-ins and daemons that run as processes."""
+"""Steps of processes.feature: stand-ins and daemons as processes."""
 
 import json
 import os
@@ -24,7 +24,7 @@
 
 
 def start(context, name, arguments, settings):
-    """Start a process; what it writes goes to a file that a failure prints."""
+    """Start a process; its output goes to a file that is printed on a failure."""
     path = pathlib.Path(tempfile.mkdtemp()) / f"{name}.yaml"
     path.write_text(yaml.safe_dump(settings))
     output = path.with_suffix(".log")
@@ -41,7 +41,7 @@
 
 
 def start_standin(context, name, arguments):
-    """Start a stand-in on a port of its choice; return the address that it tells."""
+    """Start a stand-in on a free port and return the address that it prints."""
     output = start(context, name, ["standin", *arguments], {})
     wait_for(lambda: output.read_text().startswith("http") and "\n" in read(output))
     return read(output).splitlines()[0].strip()
@@ -118,7 +118,7 @@
 
 
 def find_serving(output):
-    """Return the line by which a daemon tells its addresses; None before it."""
+    """Return the log line with a daemon's addresses; None if it isn't there yet."""
     for line in output.read_text().splitlines():
         if '"app: serving"' in line:
             return json.loads(line)
@@ -162,7 +162,7 @@
         if condition():
             return
         time.sleep(0.05)
-    raise AssertionError("it did not come about")
+    raise AssertionError(f"condition not met within {within_seconds} s")
 
 
 @given("the platform, two engines, a plain service and two daemons as processes")
@@ -244,7 +244,7 @@
         thread.join(timeout=30)
 
 
-@then("all {n:d} streams end whole")
+@then("all {n:d} streams are complete")
 def then_whole(context, n):
     assert len(context.streams) == n
     for status, _, body in context.streams:
--- a/features/app/steps/settings_steps.py
+++ b/features/app/steps/settings_steps.py
@@ -75,13 +75,13 @@
     assert context.watch.bounds.revoke_seconds == seconds
 
 
-@when("a settings file has no name, no store and a port of no number")
+@when("a settings file has no name, no store and a port that is not a number")
 def step_faults(context):
     text = "zone=a\nip=1.2.3.4\nport_range=1,2\nlisten.front=1.2.3.4:http\n"
     context.faults = decode_settings(text).failure().faults
 
 
-@then("all {n:d} faults are told")
+@then("all {n:d} faults are reported")
 def step_all(context, n):
     assert len(context.faults) == n, context.faults
 
@@ -107,17 +107,17 @@
     asyncio.run(reload())
 
 
-@then("the daemon goes by {seen}")
-def step_goes_by(context, seen):
+@then("the daemon applies {seen}")
+def step_applies(context, seen):
     daemon = context.daemon
     terms = daemon._components.traffic.dispatcher._scheduler._retry_terms
     old_seconds = daemon._components.traffic.targets.old_weights_seconds()
     found = {
-        "questions held": f"for {daemon.watches[0]._wait_seconds():.3g} s",
-        "repeats": f"of {terms.share:.3g} per request",
-        "a window": f"of {terms.window_seconds:.3g} s for repeats",
+        "long polls": f"of {daemon.watches[0]._wait_seconds():.3g} s",
+        "retries": f"of {terms.share:.3g} per request",
+        "a window": f"of {terms.window_seconds:.3g} s for retries",
         "old weights": f"for {old_seconds:.3g} s",
-        "addresses kept": f"for {daemon._address_seconds():.3g} s",
+        "addresses cached": f"for {daemon._address_seconds():.3g} s",
     }
     assert seen in [f"{name} {value}" for name, value in found.items()], found
 
@@ -148,7 +148,9 @@
 def wait_until(condition):
     deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
     while not condition():
-        assert time.monotonic() < deadline, "it did not come about"
+        assert time.monotonic() < deadline, (
+            f"condition not met within {WAIT_TIMEOUT_SECONDS} s"
+        )
         time.sleep(0.05)
 
 
@@ -164,7 +166,7 @@
     return sum(line["event"] == "settings: read" for line in lines)
 
 
-@then("it still answers, and its log tells of each reload")
+@then("it still answers, and its log reports each reload")
 def step_answers(context):
     try:
         urllib.request.urlopen(f"http://{context.readiness}/ready")
--- a/features/app/steps/task_steps.py
+++ b/features/app/steps/task_steps.py
@@ -16,7 +16,7 @@
             raise ValueError("a message that cannot be read")
 
 
-@given("a part that holds a task that {end}")
+@given("a component with a task that {end}")
 def step_task(context, end):
     context.end = end
 
@@ -24,7 +24,7 @@
 @when("the task has ended")
 def step_ended(context):
     async def run():
-        # Held like a part holds it: nobody asks for its result.
+        # The reference is kept as a component keeps it, and the result isn't awaited.
         context.task = start_task(end_as(context.end), "loads")
         await asyncio.sleep(0)
         if context.end == "is cancelled":
