--- a/lycheepost/app/daemon.py
+++ b/lycheepost/app/daemon.py
@@ -1,7 +1,7 @@
-"""The daemon: joins its parts, starts them in order, drains and stops them.
+"""The daemon: wires its components together and runs their life cycle.
 
-``make_daemon`` joins the parts; ``Daemon`` only runs their life cycle. Nothing
-is decided here.
+``make_daemon`` builds the components; ``Daemon`` starts, drains and stops them. This
+module makes no routing decisions.
 """
 
 import asyncio
@@ -14,9 +14,14 @@
 from returns.pipeline import is_successful
 
 from lycheepost.app.capacity import make_capacity
+from lycheepost.app.components import (
+    Component,
+    drain_components,
+    start_components,
+    stop_components,
+)
 from lycheepost.app.gauges import GaugeReporter
 from lycheepost.app.listeners import Listener, make_listener
-from lycheepost.app.parts import Part, drain_parts, start_parts, stop_parts
 from lycheepost.app.platform import Platform, make_http_platform
 from lycheepost.app.settings import fallback_configuration
 from lycheepost.app.status import fleet_status
@@ -36,8 +41,8 @@
 from lycheepost.state.addresses import Member
 from lycheepost.utils.metrics import make_metrics
 
-_START_BITS = 48
-"""Enough that two starts of a daemon never have the same number."""
+_START_ID_BITS = 48
+"""Large enough that two starts of a daemon practically never share a number."""
 
 _log = structlog.get_logger(part="app")
 
@@ -47,10 +52,10 @@
 
     Attributes:
         state: The shared state: configuration, members, claims, leases.
-        traffic: The parts that carry requests.
-        callers: The callers' listener; tells the port.
-        operators: The operators' listener; tells the port.
-        status: The answer of ``/admin/status``.
+        traffic: The components that carry requests.
+        callers: The listener for callers; knows its port.
+        operators: The listener for operators; knows its port.
+        status: Returns the response body of ``/admin/status``.
     """
 
     def __init__(
@@ -60,7 +65,7 @@
         traffic: Traffic,
         callers: Listener,
         operators: Listener,
-        parts: list[Part],
+        components: list[Component],
         status: Callable[[], dict[str, Any]],
     ) -> None:
         self.state = state
@@ -69,23 +74,23 @@
         self.callers = callers
         self.operators = operators
         self._settings = settings
-        self._parts = parts
+        self._components = components
 
     @property
     def callers_url(self) -> str:
-        """Return the base address for callers."""
+        """Return the base URL for callers."""
         listeners = self._settings.listeners
         host = listeners.advertised_host or listeners.host
         return f"{self.callers.scheme}://{host}:{self.callers.port}"
 
     async def start(self) -> None:
-        """Start all parts; when it returns the daemon serves.
+        """Start all components; the daemon serves once this returns.
 
         Raises:
-            OSError: A port is taken.
+            OSError: A port is in use.
         """
-        await start_parts(self._parts)
-        # Only now are the ports known where the settings leave them open.
+        await start_components(self._components)
+        # Ports that the settings leave open are known only after the start.
         self.state.members.set_callers_url(self.callers_url)
         _log.info(
             "app: serving",
@@ -94,10 +99,10 @@
         )
 
     async def drain(self) -> None:
-        """Leave the addresses first, then finish every request in flight.
+        """Leave the published addresses, then finish all requests in flight.
 
-        Callers keep an addresses answer for a while, so for that time new
-        requests are still served; then they are refused as not run, with the
+        Callers cache the addresses response, so new requests are still served for
+        ``announce_leaving_seconds``. After that they are refused as not run, with the
         advice to use another address.
         """
         daemon = self._settings.daemon
@@ -110,12 +115,14 @@
             async with asyncio.timeout(daemon.drain_seconds):
                 await front.drain()
         except TimeoutError:
-            _log.warning("app: requests outlived the drain", n_open=front.n_open)
-        await drain_parts(self._parts, daemon.drain_seconds)
+            _log.warning(
+                "app: drain timed out with requests in flight", n_open=front.n_open
+            )
+        await drain_components(self._components, daemon.drain_seconds)
 
     async def stop(self) -> None:
-        """Stop all parts."""
-        await stop_parts(self._parts)
+        """Stop all components."""
+        await stop_components(self._components)
         _log.info("app: stopped")
 
 
@@ -124,13 +131,13 @@
     platform: Platform | None = None,
     clock: Clock | None = None,
 ) -> Daemon:
-    """Join the parts of one daemon; nothing is started yet.
+    """Build the components of one daemon without starting them.
 
     Args:
-        settings: Checked settings.
-        platform: The platform's services; HTTP clients of the settings' when
-            None.
-        clock: Tells the time; this machine's when None.
+        settings: Validated settings.
+        platform: Clients of the platform's services; None for HTTP clients as
+            described by the settings.
+        clock: The clock; None for the system clock.
     """
     clock = clock or SystemClock()
     platform = platform or make_http_platform(settings)
@@ -141,7 +148,7 @@
         clock,
         settings,
         fallback_configuration(settings),
-        choose_peers=lambda members: _quota_mates(fleet_quotas, members, clock),
+        choose_peers=lambda members: _quota_peers(fleet_quotas, members, clock),
     )
     me = state.members.me()
     recorder = Recorder(me.daemon, me.boot, settings.objectives)
@@ -164,29 +171,29 @@
     capacity = make_capacity(
         settings, platform, state, traffic.control, traffic.hot, clock
     )
-    parts: list[Part] = [
+    components: list[Component] = [
         platform,
         state,
-        *traffic.parts(),
+        *traffic.components(),
         history,
         capacity,
         callers,
         operators,
     ]
     if settings.metrics.statsd_host:
-        parts.append(GaugeReporter(status, metrics))
-    return Daemon(settings, state, traffic, callers, operators, parts, status)
+        components.append(GaugeReporter(status, metrics))
+    return Daemon(settings, state, traffic, callers, operators, components, status)
 
 
 def make_fleet_quotas(clock: Clock) -> FleetQuotas:
-    """Return the quotas of a daemon that starts now."""
-    return FleetQuotas(secrets.randbits(_START_BITS), clock.now_seconds())
+    """Return the quotas of a newly started daemon."""
+    return FleetQuotas(secrets.randbits(_START_ID_BITS), clock.now_seconds())
 
 
-def _quota_mates(
+def _quota_peers(
     quotas: FleetQuotas, members: tuple[Member, ...], clock: Clock
 ) -> tuple[Member, ...]:
-    """Return the members with whom quotas are shared, while there are any quotas."""
+    """Return the members to exchange quota counts with; none without quotas."""
     if not quotas.has_quotas:
         return ()
     names = set(quotas.listeners(clock.now_seconds()))
@@ -198,7 +205,7 @@
 
 
 def make_transport(settings: Settings) -> SocketTransport:
-    """Return the peer links that the settings describe."""
+    """Return the peer transport described by the settings."""
     listeners = settings.listeners
     return make_socket_transport(
         DaemonId(settings.daemon.daemon_id),
@@ -219,7 +226,7 @@
 def make_status(
     settings: Settings, state: SharedState, traffic: Traffic, history: HistoryKeeper
 ) -> dict[str, Any]:
-    """Return the answer of ``/admin/status``; it names no customer's data."""
+    """Return the response of ``/admin/status``, which holds no customer data."""
     members = state.members.status()
     return {
         "daemon_id": settings.daemon.daemon_id,
--- a/lycheepost/app/fleetplace.py
+++ b/lycheepost/app/fleettopology.py
@@ -1,4 +1,4 @@
-"""Where this daemon stands in the fleet, as far as it knows the others."""
+"""The neighbours of this daemon in the fleet, computed from the known members."""
 
 from dataclasses import dataclass
 
@@ -16,17 +16,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetPlace:
-    """One daemon's place.
+class FleetTopology:
+    """The fleet as seen by one daemon.
 
     Attributes:
-        entry: The daemons that callers are told to use.
-        mates: The other entry daemons, for one of them; nobody for the others.
-        sources: Whom it asks for what the store tells, best first.
+        entry: The entry daemons, whose addresses are published to callers.
+        peers: The daemons that it exchanges load with: the other entry daemons if it
+            is one itself, otherwise none. In a small fleet all known daemons.
+        sources: The daemons that it requests store updates from, best first.
     """
 
     entry: frozenset[DaemonId]
-    mates: tuple[DaemonId, ...]
+    peers: tuple[DaemonId, ...]
     sources: tuple[DaemonId, ...]
 
 
@@ -34,48 +35,48 @@
     """Chooses the entry daemons among members.
 
     Attributes:
-        n_targets: Targets of the fleet.
+        n_targets: Number of targets of the fleet.
     """
 
     def __init__(self) -> None:
         self.n_targets = 0
 
     def choose(self, members: tuple[Member, ...]) -> frozenset[DaemonId]:
-        """Return the entry daemons among the members that serve.
+        """Return the entry daemons among the members that are live.
 
-        Where none does, as while the store is down, they are chosen among all that may
-        serve again: those who were entry daemons go on hearing of each other.
+        If none is live, as while the store is down, they are chosen among all members
+        that may become live again, so that entry daemons keep exchanging updates.
         """
         found = [item for item in members if item.state is MemberState.LIVE]
         found = found or [item for item in members if item.state in LINKED_STATES]
         return choose_entry(map(to_fleet_member, found), self.n_targets)
 
 
-def find_place(
+def find_topology(
     me: Member, members: tuple[Member, ...], entry: frozenset[DaemonId]
-) -> FleetPlace:
-    """Return the place of ``me``.
+) -> FleetTopology:
+    """Return the topology as seen by ``me``.
 
     Args:
         me: This daemon.
-        members: Every daemon that it knows.
+        members: All known daemons.
         entry: The entry daemons.
     """
     others = [item for item in members if item.daemon != me.daemon]
     known = [item for item in others if item.state is not MemberState.GONE]
-    mates = _mates(me, known, entry)
+    peers = _find_peers(me, known, entry)
     live = {item.daemon for item in others if item.state is MemberState.LIVE}
     sources = find_sources(to_fleet_member(me), map(to_fleet_member, known), live)
-    return FleetPlace(entry, mates, sources)
+    return FleetTopology(entry, peers, sources)
 
 
-def _mates(
+def _find_peers(
     me: Member, known: list[Member], entry: frozenset[DaemonId]
 ) -> tuple[DaemonId, ...]:
-    """Return whom ``me`` tells its load.
+    """Return the daemons that ``me`` sends its load to.
 
-    In a small fleet that is everybody, also who cannot serve for a moment: it still
-    has requests under way, and will serve again.
+    In a small fleet these are all known daemons, including those that currently cannot
+    serve: they still have requests in flight and will serve again.
     """
     if len(known) < SMALL_FLEET_DAEMONS:
         return tuple(sorted(item.daemon for item in known))
@@ -83,51 +84,51 @@
 
 
 def to_fleet_member(member: Member) -> FleetMember:
-    """Return a member as the decisions on the fleet see it."""
+    """Convert a member to the record used by ``decide``."""
     return FleetMember(member.daemon, member.availability_zone, member.capacity)
 
 
-class PlaceFinder:
-    """Finds the place of this daemon anew when a member has changed.
+class TopologyTracker:
+    """Computes the topology, and caches it until a member changes.
 
-    With two hundred members it takes a millisecond, and is asked for at each exchange
-    with the peers and at each question to the store.
+    With two hundred members the computation takes a millisecond, and the result is
+    needed at each exchange with the peers and at each request to the store.
 
     Args:
-        members: The members as this daemon sees them.
+        members: The members known to this daemon.
         chooser: Chooses the entry daemons for ``members``.
     """
 
     def __init__(self, members: MemberManager, chooser: EntryChooser) -> None:
         self._members = members
         self._chooser = chooser
-        self._place: FleetPlace | None = None
+        self._topology: FleetTopology | None = None
         self._change: int | None = None
 
     def set_targets(self, n_targets: int) -> None:
-        """Follow how many targets there are."""
+        """Set the number of targets; on a change, choose entry daemons again."""
         if n_targets != self._chooser.n_targets:
             self._chooser.n_targets = n_targets
             self._members.invalidate_choices()
 
-    def place(self) -> FleetPlace:
-        """Return the place by what is known now."""
+    def topology(self) -> FleetTopology:
+        """Return the current topology."""
         members = self._members.members()
-        if self._place is None or self._change != self._members.n_changes:
+        if self._topology is None or self._change != self._members.n_changes:
             self._change = self._members.n_changes
-            before = self._place
+            before = self._topology
             me = self._members.me()
-            self._place = find_place(me, members, self._members.entry())
-            if self._place != before:
-                self._tell(me, self._place, len(members))
-        return self._place
+            self._topology = find_topology(me, members, self._members.entry())
+            if self._topology != before:
+                self._log_change(me, self._topology, len(members))
+        return self._topology
 
-    def _tell(self, me: Member, place: FleetPlace, n_members: int) -> None:
+    def _log_change(self, me: Member, topology: FleetTopology, n_members: int) -> None:
         _log.info(
-            "fleet: place changed",
-            is_entry=me.daemon in place.entry,
-            entry=sorted(place.entry),
-            sources=place.sources,
+            "fleet: topology changed",
+            is_entry=me.daemon in topology.entry,
+            entry=sorted(topology.entry),
+            sources=topology.sources,
             n_members=n_members,
             n_targets=self._chooser.n_targets,
         )
--- a/lycheepost/app/losses.py
+++ b/lycheepost/app/losses.py
@@ -1,8 +1,8 @@
-"""Share with the fleet which requests were running on lost targets.
+"""Shares with the fleet which requests were running on lost targets.
 
-A request that kills its target comes back through any daemon. Each daemon tells
-the others at once of every loss, so that the second one is recognised wherever it
-happens, of every quarantine, and of where a suspect is being tried.
+A request that crashes its target may be retried through any daemon. Each daemon
+reports every loss, every quarantine and every target that runs a suspect request to
+the others at once, so that the second loss is recognised at whichever daemon it occurs.
 """
 
 from lycheepost.callers.dispatch import Dispatcher
@@ -14,7 +14,7 @@
 
 
 class LossExchange:
-    """Connects a daemon's quarantine with the peers; it has no task of its own."""
+    """Exchanges losses and quarantines with the peers, without a task of its own."""
 
     def __init__(
         self, dispatcher: Dispatcher, exchange: PeerExchange, clock: Clock
@@ -22,12 +22,12 @@
         self._dispatcher = dispatcher
         self._exchange = exchange
         self._clock = clock
-        exchange.subscribe(QuarantineNotice, self._take_loss)
-        exchange.subscribe(SuspectPlaced, self._take_suspect)
-        dispatcher.on_loss(self._tell_loss)
-        dispatcher.on_suspect(self._tell_suspect)
+        exchange.subscribe(QuarantineNotice, self._receive_loss)
+        exchange.subscribe(SuspectPlaced, self._receive_suspect)
+        dispatcher.on_loss(self._publish_loss)
+        dispatcher.on_suspect(self._publish_suspect)
 
-    def _tell_loss(self, loss: LossSeen) -> None:
+    def _publish_loss(self, loss: LossSeen) -> None:
         now_seconds = self._clock.now_seconds()
         self._exchange.broadcast(
             QuarantineNotice(
@@ -39,14 +39,14 @@
             )
         )
 
-    def _take_loss(self, notice: QuarantineNotice, _sender: DaemonId) -> None:
+    def _receive_loss(self, notice: QuarantineNotice, _sender: DaemonId) -> None:
         fingerprint = BodyFingerprint(notice.fingerprint)
         if notice.is_quarantined:
             if notice.for_seconds > 0:
                 self._dispatcher.quarantine(fingerprint, notice.for_seconds)
             return
-        # A notice takes some milliseconds; a loss is told apart from the next by the
-        # pause before a retry, which is longer.
+        # The delivery of a notice takes some milliseconds. The pause before a retry is
+        # longer, so one loss is still distinguished from the next.
         now_seconds = self._clock.now_seconds()
         self._dispatcher.note_loss(
             fingerprint,
@@ -54,8 +54,8 @@
             now_seconds - notice.lost_ago_seconds,
         )
 
-    def _tell_suspect(self, target: TargetId) -> None:
+    def _publish_suspect(self, target: TargetId) -> None:
         self._exchange.broadcast(SuspectPlaced(target=target))
 
-    def _take_suspect(self, notice: SuspectPlaced, _sender: DaemonId) -> None:
+    def _receive_suspect(self, notice: SuspectPlaced, _sender: DaemonId) -> None:
         self._dispatcher.note_peer_suspect(TargetId(notice.target))
--- a/lycheepost/app/quotas.py
+++ b/lycheepost/app/quotas.py
@@ -1,11 +1,11 @@
-"""Tell the peers what was let through of each customer's quota, and hear theirs."""
+"""Exchanges with the peers how much of each customer's quota was used."""
 
 import asyncio
 from collections.abc import Callable, Mapping
 
 import structlog
 
-from lycheepost.app.fleetplace import FleetPlace
+from lycheepost.app.fleettopology import FleetTopology
 from lycheepost.core.clock import Clock
 from lycheepost.core.ids import CustomerId, DaemonId
 from lycheepost.core.quotas import Quota
@@ -22,29 +22,29 @@
 from lycheepost.utils.metrics import Metrics
 from lycheepost.utils.tasks import start_task
 
-REPORT_SECONDS = 1.0
-"""Shortest time between two lines on who is heard, and between two sets of gauges."""
+LOG_INTERVAL_SECONDS = 1.0
+"""Minimum interval between log lines on reachable peers, and between sets of gauges."""
 
-MOST_MEASURED = 32
-"""Customers with gauges of their own, the first ones of whom requests were refused:
-each name stays in the metrics for good."""
+MAX_MEASURED_CUSTOMERS = 32
+"""Maximum number of customers with gauges of their own; the first with refused requests
+get them. The limit bounds the metrics, which never drop a name."""
 
 IDLE_SECONDS = 0.4
-"""Between two looks at whether any customer has a quota."""
+"""Interval between checks for quotas while no customer has one."""
 
 _log = structlog.get_logger(part="quotas")
 
 
 class QuotaExchange:
-    """Keeps the quotas of this daemon and those of its peers together.
+    """Keeps the quota counts of this daemon and its peers in step.
 
     Args:
-        quotas: The quotas; nobody else passes news to them.
-        exchange: The links.
-        clock: The clock of the decisions.
-        metrics: Where gauges go.
-        get_mates: Returns the other daemons that serve, in a fleet in which all do;
-            None where ``follow_place`` tells.
+        quotas: The quotas; no other component passes updates to them.
+        exchange: The links to the peers.
+        clock: The clock that the scheduler uses.
+        metrics: Receives the gauges.
+        get_peers: Returns the other live daemons, in a fleet where all daemons are
+            entry daemons; None if ``set_topology`` is called instead.
     """
 
     def __init__(
@@ -53,57 +53,59 @@
         exchange: PeerExchange,
         clock: Clock,
         metrics: Metrics,
-        get_mates: Callable[[], tuple[DaemonId, ...]] | None = None,
+        get_peers: Callable[[], tuple[DaemonId, ...]] | None = None,
     ) -> None:
-        self._get_mates = get_mates
+        self._get_peers = get_peers
         self._metrics = metrics
         self._measured: set[CustomerId] = set()
         self._quotas = quotas
         self._exchange = exchange
         self._clock = clock
         self._n_share_changes = 0
-        self._reported_seconds = float("-inf")
-        self._told_seconds = float("-inf")
-        self._whole_seconds = float("-inf")
+        self._last_logged_seconds = float("-inf")
+        self._last_published_seconds = float("-inf")
+        self._last_full_report_seconds = float("-inf")
         self._task: asyncio.Task[None] | None = None
-        exchange.subscribe(QuotaSpent, self._take)
+        exchange.subscribe(QuotaSpent, self._receive)
 
     async def start(self) -> None:
-        """Begin to tell."""
+        """Start sending counts."""
         self._task = start_task(self._run(), "quotas")
 
     async def drain(self) -> None:
-        """Go on: requests are let through until the end."""
+        """Do nothing: requests are admitted until the end of the drain."""
 
     async def stop(self) -> None:
-        """Stop telling."""
+        """Stop sending counts."""
         if self._task is not None:
             self._task.cancel()
 
     def status(self) -> dict[str, object]:
-        """Return what is left for each customer, as seen here."""
+        """Return each customer's remaining quota, as known to this daemon."""
         return self._quotas.status(self._clock.now_seconds())
 
     def set_table(self, table: RouteTable) -> None:
-        """Follow the quotas of the route table in force."""
+        """Set the quotas of the current route table."""
         self.set_quotas(table.quotas)
 
     def set_quotas(self, quotas: Mapping[CustomerId, Quota]) -> None:
-        """Follow the quotas in force."""
+        """Set the current quotas."""
         self._quotas.set_quotas(quotas, self._clock.now_seconds())
 
     def set_fleet(self, n_daemons: int) -> None:
-        """Follow how many daemons have a row in the store, once it was read."""
+        """Set the number of daemons that have a row in the store, once it was read."""
         self._quotas.set_fleet(n_daemons)
 
-    def follow_place(self, me: DaemonId, place: FleetPlace) -> None:
-        """Follow the place of this daemon in the fleet."""
+    def set_topology(self, me: DaemonId, topology: FleetTopology) -> None:
+        """Set the topology of the fleet as seen by this daemon."""
         now_seconds = self._clock.now_seconds()
-        if me in place.entry:
-            self._quotas.set_entry(place.mates, now_seconds)
+        if me in topology.entry:
+            self._quotas.set_entry(topology.peers, now_seconds)
             return
-        relays = (daemon for daemon in place.sources if daemon in place.entry)
-        self._quotas.set_standing_by(next(relays, None), len(place.entry), now_seconds)
+        relays = (daemon for daemon in topology.sources if daemon in topology.entry)
+        self._quotas.set_standing_by(
+            next(relays, None), len(topology.entry), now_seconds
+        )
 
     async def _run(self) -> None:
         while True:
@@ -114,47 +116,47 @@
             try:
                 self._exchange_once(self._clock.now_seconds())
             except Exception:
-                # Without the next message the others would take this daemon for cut
-                # off, and hold their customers to a part of each quota for good.
+                # If the task ended, the peers would assume that this daemon is cut off
+                # and grant their customers only a part of each quota from then on.
                 _log.exception("quotas: one exchange failed")
 
     def _exchange_once(self, now_seconds: float) -> None:
-        if self._get_mates is not None:
-            self._quotas.set_entry(self._get_mates(), now_seconds)
-        self._tell(now_seconds)
+        if self._get_peers is not None:
+            self._quotas.set_entry(self._get_peers(), now_seconds)
+        self._publish(now_seconds)
         self._report(now_seconds)
 
-    def _tell(self, now_seconds: float) -> None:
-        """Tell the listeners what was let through, or that this daemon lives."""
+    def _publish(self, now_seconds: float) -> None:
+        """Send the counts to the listeners, or a heartbeat without counts."""
         listeners = self._quotas.listeners(now_seconds)
         if not listeners:
             return
-        is_whole = now_seconds - self._whole_seconds > WHOLE_SECONDS
-        news = self._quotas.news(is_whole, now_seconds)
-        is_due = now_seconds - self._told_seconds > HEARTBEAT_SECONDS
-        if not news.counts and not is_due:
+        is_whole = now_seconds - self._last_full_report_seconds > WHOLE_SECONDS
+        update = self._quotas.news(is_whole, now_seconds)
+        is_due = now_seconds - self._last_published_seconds > HEARTBEAT_SECONDS
+        if not update.counts and not is_due:
             return
-        self._told_seconds = now_seconds
+        self._last_published_seconds = now_seconds
         if is_whole:
-            self._whole_seconds = now_seconds
-        message = to_message(news)
+            self._last_full_report_seconds = now_seconds
+        message = to_message(update)
         self._exchange.send_to_each(listeners, message)
 
     def _report(self, now_seconds: float) -> None:
-        """Log and measure, at most once a second."""
-        if now_seconds - self._reported_seconds < REPORT_SECONDS:
+        """Log changes and set gauges, at most once per ``LOG_INTERVAL_SECONDS``."""
+        if now_seconds - self._last_logged_seconds < LOG_INTERVAL_SECONDS:
             return
-        self._reported_seconds = now_seconds
+        self._last_logged_seconds = now_seconds
         self._log_share()
         for customer, meter in self._quotas.refused():
-            if len(self._measured) < MOST_MEASURED:
+            if len(self._measured) < MAX_MEASURED_CUSTOMERS:
                 self._measured.add(customer)
             if customer in self._measured:
                 self._metrics.gauge(f"quota_left.{customer}", meter.fleet.level)
                 self._metrics.gauge(f"quota_refused.{customer}", meter.n_refused)
 
     def _log_share(self) -> None:
-        """Tell of a change of the daemons that are heard."""
+        """Log a change of the set of reachable daemons."""
         n_changes = self._quotas.n_share_changes
         if n_changes == self._n_share_changes:
             return
@@ -162,9 +164,9 @@
         share = round(self._quotas.share, 3)
         _log.info("quotas: share changed", share=share, n_changes=n_changes)
 
-    def _take(self, message: QuotaSpent, sender: DaemonId) -> None:
-        news = from_message(message)
-        n_left_out = len(message.customers) - len(news.counts)
-        if n_left_out:
-            _log.warning("quotas: counts left out", sender=sender, n=n_left_out)
-        self._quotas.hear(sender, news, self._clock.now_seconds())
+    def _receive(self, message: QuotaSpent, sender: DaemonId) -> None:
+        update = from_message(message)
+        n_invalid = len(message.customers) - len(update.counts)
+        if n_invalid:
+            _log.warning("quotas: invalid counts ignored", sender=sender, n=n_invalid)
+        self._quotas.hear(sender, update, self._clock.now_seconds())
--- a/lycheepost/app/settingswatch.py
+++ b/lycheepost/app/settingswatch.py
@@ -1,10 +1,10 @@
-"""Follow changes of the platform's settings file while the daemon runs.
+"""Reloads the platform's settings file when it changes.
 
-The platform may tell of a change by a signal, or not at all, so the file is looked at
-every few seconds as well. Bounds are followed at once, but for the time between two
-holders' orders, which counts from the next start, as does what says where this
-process listens or who it is; a log line says so. A file that cannot be read changes
-nothing.
+The platform may signal a change or not, so the modification time is also polled every
+``POLL_SECONDS``. Bounds take effect at once, except the time between two holders'
+orders. That one takes effect at the next start, as do the listening addresses and the
+identity of this process; a log line lists such changes. A file that cannot be read
+changes nothing.
 """
 
 import asyncio
@@ -17,55 +17,57 @@
 from lycheepost.platform.settings import Bounds, NodeSettings, read_node_settings
 from lycheepost.utils.tasks import start_task
 
-LOOK_SECONDS = 2.0
-"""The file is small, and a look costs one question for its time of change."""
+POLL_SECONDS = 2.0
+"""Poll interval of the modification time; a poll costs one system call."""
 
 _log = structlog.get_logger(part="settings")
 
 
 class SettingsWatch:
-    """The settings in force.
+    """The current settings.
 
     Args:
-        node: What was read at the start.
-        path: Where from; None when there is no file.
+        node: The settings read at the start.
+        path: The file that they were read from; None if there is no file.
 
     Attributes:
-        bounds: The bounds in force.
+        bounds: The current bounds.
     """
 
     def __init__(self, node: NodeSettings, path: pathlib.Path | None) -> None:
         self.bounds: Bounds = node.bounds
         self._node = node
         self._path = path
-        self._changed_ns = self._look_time()
+        self._read_modified_ns = self._modified_ns()
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to look."""
+        """Start polling the file."""
         self._task = start_task(self._run(), "settings")
 
     async def drain(self) -> None:
-        """Go on: bounds still count."""
+        """Do nothing: bounds still apply during the drain."""
 
     async def stop(self) -> None:
-        """Stop looking."""
+        """Stop polling the file."""
         if self._task is not None:
             self._task.cancel()
 
-    def look(self) -> None:
-        """Read the file and follow what has changed."""
+    def reload(self) -> None:
+        """Read the file and apply what has changed."""
         if self._path is None:
             return
-        self._changed_ns = self._look_time()
+        self._read_modified_ns = self._modified_ns()
         match read_node_settings(self._path):
             case Success(node):
-                self._follow(node)
+                self._apply(node)
             case Failure(error):
                 faults = list(error.faults)
-                _log.error("settings: kept", reason=error.reason, faults=faults)
+                _log.error(
+                    "settings: reload failed", reason=error.reason, faults=faults
+                )
 
-    def _follow(self, node: NodeSettings) -> None:
+    def _apply(self, node: NodeSettings) -> None:
         changed = [
             item.name
             for item in dataclasses.fields(node)
@@ -78,7 +80,7 @@
         self.bounds = node.bounds
         _log.info("settings: read", changed=changed, at_next_start=at_next_start)
 
-    def _look_time(self) -> int:
+    def _modified_ns(self) -> int:
         if self._path is None:
             return 0
         try:
@@ -88,6 +90,6 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            if self._look_time() != self._changed_ns:
-                self.look()
+            await asyncio.sleep(POLL_SECONDS)
+            if self._modified_ns() != self._read_modified_ns:
+                self.reload()
--- a/lycheepost/app/slopes.py
+++ b/lycheepost/app/slopes.py
@@ -1,7 +1,7 @@
-"""Measure what the joined daemon costs by the number of targets.
+"""Measures how the cost of the target feed and scheduler grows with the fleet.
 
-These are the costs that ``bench.slopes`` cannot reach from its layer: the feed
-that tells the scheduler of its targets, and the scheduler as the daemon uses it.
+``bench.slopes`` cannot import these from its layer: the feed that passes targets to
+the scheduler, and the scheduler as the daemon uses it.
 """
 
 import asyncio
@@ -25,8 +25,8 @@
 from lycheepost.state.view import ConfigurationView, make_view
 
 
-class _Fed:
-    """A feed over a scheduler, with a view that can be replaced."""
+class _FeedFixture:
+    """A feed and its scheduler, with a replaceable configuration view."""
 
     def __init__(self, n_targets: int) -> None:
         self.configuration = make_configuration(N_CUSTOMERS, n_targets)
@@ -42,7 +42,7 @@
         self.feed.feed()
 
     def change(self) -> None:
-        """Adopt one change and feed it."""
+        """Apply one configuration change and feed it."""
         self.configuration = with_one_changed(
             self.configuration, self.configuration.revision
         )
@@ -51,24 +51,24 @@
 
 
 def measure_daemon_slopes() -> list[Slope]:
-    """Measure the feed and the scheduler at several numbers of targets."""
+    """Measure the feed and the scheduler for several numbers of targets."""
     return asyncio.run(_measure())
 
 
 async def _measure() -> list[Slope]:
-    look, change, tick, memory = {}, {}, {}, {}
+    poll, change, tick, memory = {}, {}, {}, {}
     now_seconds = SystemClock().now_seconds()
     for n_targets in N_TARGETS:
-        fed = _Fed(n_targets)
-        look[n_targets] = 1000 * time_seconds(fed.feed.feed)
-        change[n_targets] = 1000 * time_seconds(fed.change)
+        fixture = _FeedFixture(n_targets)
+        poll[n_targets] = 1000 * time_seconds(fixture.feed.feed)
+        change[n_targets] = 1000 * time_seconds(fixture.change)
         tick[n_targets] = 1e6 * time_seconds(
-            partial(fed.scheduler.tick, now_seconds), 50
+            partial(fixture.scheduler.tick, now_seconds), 50
         )
-        memory[n_targets] = allocated_megabytes(partial(_Fed, n_targets))
+        memory[n_targets] = allocated_megabytes(partial(_FeedFixture, n_targets))
     size = "targets"
     return [
-        fit_slope("target feed", "one look, milliseconds", size, look, 12_000),
+        fit_slope("target feed", "one poll, milliseconds", size, poll, 12_000),
         fit_slope("target feed", "one change, milliseconds", size, change, 12_000),
         fit_slope("scheduler", "one tick, microseconds", size, tick, 12_000),
         fit_slope(
--- a/lycheepost/app/traffic.py
+++ b/lycheepost/app/traffic.py
@@ -1,4 +1,4 @@
-"""The parts that carry requests: scheduler, clients of targets, callers' front."""
+"""The components that carry requests: scheduler, target clients, callers' front."""
 
 import asyncio
 import itertools
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from lycheepost.app.components import Component
 from lycheepost.app.feed import TargetFeed
 from lycheepost.app.losses import LossExchange
-from lycheepost.app.parts import Part
 from lycheepost.app.quotas import QuotaExchange
 from lycheepost.callers.deps import CallerDeps
 from lycheepost.callers.dispatch import Dispatcher
@@ -53,13 +53,12 @@
 from lycheepost.targets.service import ServiceClient, make_service_client
 from lycheepost.utils.metrics import Metrics
 
-UNREACHABLE_SECONDS = 2.0
-"""A target that refused a connection gets no new work for this long; its health
-answers tell meanwhile whether it is back."""
+CONNECT_FAILURE_SECONDS = 2.0
+"""A target that refused a connection gets no new requests for this long. Meanwhile its
+health checks show whether it is back."""
 
-
-SAME_TARGET_SECONDS = 0.5
-"""An engine answers for its health in milliseconds, or it is in trouble."""
+INCARNATION_TIMEOUT_SECONDS = 0.5
+"""Time-out of the health check; a healthy engine responds within milliseconds."""
 
 
 @dataclass
@@ -71,7 +70,7 @@
 
 @dataclass(frozen=True)
 class Traffic:
-    """The parts that carry requests; made by ``make_traffic``."""
+    """The components that carry requests; built by ``make_traffic``."""
 
     dispatcher: Dispatcher
     engines: EngineClient
@@ -84,8 +83,8 @@
     hot: HotPrefixes
     quotas: QuotaExchange
 
-    def parts(self) -> list[Part]:
-        """Return the parts in the order in which to start them."""
+    def components(self) -> list[Component]:
+        """Return the components in start order."""
         return [
             self.engines,
             self.services,
@@ -107,16 +106,16 @@
     status: Callable[[], dict[str, Any]],
     fleet_quotas: FleetQuotas,
 ) -> Traffic:
-    """Join the parts that carry requests.
+    """Build the components that carry requests.
 
     Args:
-        settings: Checked settings.
+        settings: Validated settings.
         state: The shared state of this daemon.
-        recorder: Counts every finished request.
-        metrics: Where metrics go.
-        clock: Tells the time.
-        status: The answer of ``/admin/status``.
-        fleet_quotas: What customers may ask of the fleet.
+        recorder: Records every finished request.
+        metrics: Receives the metrics.
+        clock: The clock.
+        status: Returns the response body of ``/admin/status``.
+        fleet_quotas: The customers' quotas for the whole fleet.
     """
     me = state.members.me()
     seed = hash_bytes(me.boot.encode())
@@ -151,8 +150,8 @@
         on_targets,
     )
     LossExchange(dispatcher, state.exchange, clock)
-    # A daemon that has just got its first configuration must find targets at
-    # once; until the next look it would refuse with "no target".
+    # The first configuration is fed at once. Otherwise requests would be refused with
+    # "no target" until the next periodic feed.
     state.revisions.subscribe(lambda _view: feed.feed())
     quotas = QuotaExchange(
         fleet_quotas,
@@ -172,7 +171,7 @@
 
     def on_unreachable(target: TargetId) -> None:
         sign = TargetSignal(
-            SignalSource.CONNECTION, TargetState.GONE, UNREACHABLE_SECONDS
+            SignalSource.CONNECTION, TargetState.GONE, CONNECT_FAILURE_SECONDS
         )
         state.members.observe_target(target, sign, clock.now_seconds())
         feed.feed()
@@ -183,7 +182,7 @@
         if configured is None or not boot_id:
             return False
         try:
-            async with asyncio.timeout(SAME_TARGET_SECONDS):
+            async with asyncio.timeout(INCARNATION_TIMEOUT_SECONDS):
                 health = await control.read(f"{configured.url}/health", EngineHealth)
         except TimeoutError:
             return False
@@ -235,7 +234,7 @@
 
 
 def serving_peers(members: MemberManager) -> tuple[DaemonId, ...]:
-    """Return the other daemons that callers may be sent to."""
+    """Return the other live daemons, whose addresses callers may get."""
     me = members.me().daemon
     return tuple(
         member.daemon
@@ -245,7 +244,7 @@
 
 
 def engine_targets(view: ConfigurationView) -> list[Target]:
-    """Return the targets that can be asked for an engine's reports."""
+    """Return the targets that provide engine reports."""
     engines = {
         name
         for name, group in view.target_groups.items()
@@ -260,6 +259,6 @@
 
 
 def _request_ids(prefix: str) -> Callable[[], RequestId]:
-    """Return a maker of ids that no other daemon and no earlier start can make."""
+    """Return a generator of ids that are unique across daemons and starts."""
     numbers = itertools.count(1)
     return lambda: RequestId(f"{prefix}-{next(numbers)}")
--- a/tools/faultsoak.py
+++ b/tools/faultsoak.py
@@ -34,9 +34,9 @@
 from lycheepost.app.platformdemo import (
     PlatformDemoReport,
     audit_runs,
-    judge,
-    make_asked,
-    prompt_of,
+    check_answer,
+    make_demo_request,
+    make_prompt_headers,
 )
 from lycheepost.app.platformfleet import KEYS, Answer, make_configuration
 from lycheepost.platform import headers as names
@@ -176,10 +176,10 @@
     faults.clear()
 
 
-async def name_weights(run: SoakRun, _daemon: DaemonProcess) -> None:
+async def publish_weights(run: SoakRun, _daemon: DaemonProcess) -> None:
     """Name new weights."""
     run.weights += 1
-    run.fleet.name_weights(run.weights)
+    run.fleet.publish_weights(run.weights)
 
 
 async def configure(run: SoakRun, _daemon: DaemonProcess) -> None:
@@ -230,7 +230,7 @@
     disturb_client_link,
     disturb_server_link,
     disturb_store,
-    name_weights,
+    publish_weights,
     configure,
     leave,
     shed,
@@ -252,9 +252,9 @@
 async def ask(run: SoakRun, number: int) -> None:
     """Send one request through one daemon, and judge its answer."""
     fleet = run.fleet
-    asked = make_asked(run.rng, number)
+    asked = make_demo_request(run.rng, number)
     key = run.rng.choice((*KEYS, LOST_KEY))
-    headers = fleet.headers(key, **prompt_of(run.rng, asked))
+    headers = fleet.headers(key, **make_prompt_headers(run.rng, asked))
     attempt_id = headers[names.ATTEMPT_ID]
     index = run.rng.randrange(len(fleet.processes))
     started_seconds = time.monotonic()
@@ -273,7 +273,7 @@
     elapsed_seconds = time.monotonic() - started_seconds
     if answer.status == 200 and answer.is_whole:
         run.words.handed_on_seconds[attempt_id] = time.monotonic()
-    judge(fleet, asked, attempt_id, answer, elapsed_seconds, run.report)
+    check_answer(fleet, asked, attempt_id, answer, elapsed_seconds, run.report)
     if answer.status in _NOT_RUN and names.SEAL not in answer.headers:
         run.refused.add(attempt_id)
 
