--- a/features/decide/steps/backlog_steps.py
+++ b/features/decide/steps/backlog_steps.py
@@ -4,7 +4,7 @@
 
 from features.decide.steps.common import Desk, make_view
 from lycheepost.decide.backlog import Backlog
-from lycheepost.decide.peerloads import NOTHING
+from lycheepost.decide.peerloads import NO_LOAD
 
 STEP_SECONDS = 0.005
 
@@ -44,9 +44,7 @@
 )
 def step_target(context, speed, away):
     context.engine = Engine(speed, away / 1000.0)
-    context.desk = Desk(
-        0, admit_patience_share=0.9, prefill_seconds_per_token=1.0 / 45_000
-    )
+    context.desk = Desk(0, admit_wait_share=0.9, prefill_seconds_per_token=1.0 / 45_000)
     context.desk.views = {0: make_view(0, limit=64)}
     context.desk.announce()
     context.n_tokens = 0
@@ -89,7 +87,7 @@
 
 def nothing_at(desk):
     """Return the word of a peer that has nothing at the target."""
-    return desk.views[0].target, NOTHING, desk.now_seconds
+    return desk.views[0].target, NO_LOAD, desk.now_seconds
 
 
 @then("it was idle for at most {share:d} in 100 of the time")
--- a/features/decide/steps/entry_steps.py
+++ b/features/decide/steps/entry_steps.py
@@ -12,7 +12,7 @@
     choose_entry,
     follows_engines,
     follows_stores,
-    is_short,
+    lacks_entry_daemons,
 )
 from lycheepost.decide.peerloads import PeerLoads
 
@@ -166,4 +166,4 @@
 
 @then("with {entry:d} of {n:d} daemons to name, an answer is to be kept {how}")
 def step_kept(context, entry, n, how):
-    assert is_short(entry, n) == (how == "briefly")
+    assert lacks_entry_daemons(entry, n) == (how == "briefly")
--- a/features/decide/steps/latework_steps.py
+++ b/features/decide/steps/latework_steps.py
@@ -21,7 +21,7 @@
     def __init__(self, n_targets, rate, objective_seconds):
         self.desk = Desk(
             n_targets,
-            admit_patience_share=0.9,
+            admit_wait_share=0.9,
             prefill_seconds_per_token=1.0 / rate / PROMPT_TOKENS,
         )
         self.desk.views = {i: make_view(i, limit=64) for i in range(n_targets)}
--- a/features/decide/steps/notice_steps.py
+++ b/features/decide/steps/notice_steps.py
@@ -7,7 +7,7 @@
 from lycheepost.core.starts import TargetStart
 from lycheepost.decide.backoff import BackOffs
 from lycheepost.decide.leaving import LeavingTargets
-from lycheepost.decide.notices import IsLeaving, TargetNotices
+from lycheepost.decide.notices import TargetLeaving, TargetNotices
 
 TARGET = TargetId("t")
 START = TargetStart(TARGET)
@@ -41,7 +41,7 @@
 
 @then("that is news")
 def step_news(context):
-    assert context.changes == [IsLeaving(START)], context.changes
+    assert context.changes == [TargetLeaving(START)], context.changes
 
 
 @then("that is no news")
--- a/features/decide/steps/peerloads_steps.py
+++ b/features/decide/steps/peerloads_steps.py
@@ -8,7 +8,7 @@
 
 from features.decide.steps.common import Desk, make_view
 from lycheepost.core.ids import DaemonId, TargetId
-from lycheepost.decide.peerloads import NOTHING, PeerLoads, UnderWay, find_changes
+from lycheepost.decide.peerloads import NO_LOAD, DaemonLoad, PeerLoads, find_changes
 
 
 @given("{n:d} daemons before {n_targets:d} targets that tell each other their load")
@@ -31,7 +31,7 @@
         peers.observe(DaemonId(str(number)), loads, other.now_seconds)
         totals = peers.totals(other.now_seconds)
         for target in {view.target for view in other.views.values()}:
-            load = totals.get(target, NOTHING)
+            load = totals.get(target, NO_LOAD)
             assert load == peers.at(target, other.now_seconds), (target, load)
             other.scheduler.note_others(target, load, other.now_seconds)
 
@@ -156,9 +156,9 @@
         loads = dict(told)
         target = TargetId(f"target-{rng.randrange(6)}")
         n_running = max(
-            0, loads.get(target, UnderWay(0, 0)).n_running + rng.choice((-1, 1))
+            0, loads.get(target, DaemonLoad(0, 0)).n_running + rng.choice((-1, 1))
         )
-        loads[target] = UnderWay(100 * n_running, n_running)
+        loads[target] = DaemonLoad(100 * n_running, n_running)
         loads = {name: load for name, load in loads.items() if load.n_running}
         changes = find_changes(told, loads)
         context.n_told += len(changes)
@@ -166,7 +166,7 @@
         peers.observe_changes(first, changes, now_seconds)
         told = loads
         for name in map(TargetId, (f"target-{n}" for n in range(6))):
-            if peers.at(name, now_seconds) != loads.get(name, UnderWay(0, 0)):
+            if peers.at(name, now_seconds) != loads.get(name, DaemonLoad(0, 0)):
                 context.differences.append((index, name))
 
 
@@ -182,7 +182,7 @@
 
 @when("the second hears of a change before it hears of all")
 def step_unheard(context):
-    changes = {TargetId("target-0"): UnderWay(10, 1)}
+    changes = {TargetId("target-0"): DaemonLoad(10, 1)}
     context.peers[1].observe_changes(DaemonId("0"), changes, 0.0)
 
 
--- a/features/decide/steps/quotas_steps.py
+++ b/features/decide/steps/quotas_steps.py
@@ -14,22 +14,22 @@
 from lycheepost.core.quotas import Quota, QuotaTolerance, QuotaUnit
 from lycheepost.decide import fleetquota, quotameter
 from lycheepost.decide.fleetquota import FleetQuotas
-from lycheepost.decide.quotamates import QuotaMates
+from lycheepost.decide.quotapeers import QuotaPeers
 
 CUSTOMER = CustomerId("one")
 STEP_SECONDS = 0.05
 
 BREAKS = {
     "counts of the others": [
-        mock.patch.object(FleetQuotas, "hear", lambda *_: None),
-        mock.patch.object(QuotaMates, "find_share", lambda *_: 1.0),
+        mock.patch.object(FleetQuotas, "receive", lambda *_: None),
+        mock.patch.object(QuotaPeers, "find_share", lambda *_: 1.0),
     ],
     "a part for those who are silent": [
-        mock.patch.object(QuotaMates, "find_share", lambda *_: 1.0),
+        mock.patch.object(QuotaPeers, "find_share", lambda *_: 1.0),
     ],
     "a smaller bucket after a start": [
-        mock.patch.object(quotameter, "START_SHARE", 1e9),
-        mock.patch.object(QuotaMates, "find_share", lambda *_: 1.0),
+        mock.patch.object(quotameter, "START_TOLERANCE_SHARE", 1e9),
+        mock.patch.object(QuotaPeers, "find_share", lambda *_: 1.0),
     ],
     "hearing of a lower quota": [
         mock.patch.object(quotameter.QuotaMeter, "change", lambda *_: None),
@@ -197,7 +197,7 @@
 @when("a request of {units:d} units is let through and never runs")
 def step_unrun(context, units):
     assert context.quotas.take(CUSTOMER, units, 0.0) is None
-    context.quotas.give_back(CUSTOMER, units, 0.0)
+    context.quotas.refund(CUSTOMER, units, 0.0)
 
 
 @then("the next one is let through")
@@ -266,30 +266,30 @@
 def step_standing_by(context, n, rate):
     names = [DaemonId(f"d{index}") for index in range(n)]
     context.fleet = {name: make_quotas(index) for index, name in enumerate(names)}
-    context.standing_by = DaemonId("by")
-    context.fleet[context.standing_by] = make_quotas(99)
+    context.standby = DaemonId("by")
+    context.fleet[context.standby] = make_quotas(99)
     context.n_entry = n
     context.rate = rate
     for name, quotas in context.fleet.items():
         quotas.set_quotas({CUSTOMER: make_quota(rate)}, 0.0)
-        if name == context.standing_by:
-            quotas.set_standing_by(names[0], n, 0.0)
+        if name == context.standby:
+            quotas.set_standby(names[0], n, 0.0)
         else:
             quotas.set_entry([other for other in names if other != name], 0.0)
     context.now_seconds = 0.0
     exchange(context)
 
 
-def exchange(context, is_whole=False):
+def exchange(context, is_full=False):
     """Let everybody tell its listeners once."""
     context.now_seconds += STEP_SECONDS
     for name, quotas in context.fleet.items():
         listeners = quotas.listeners(context.now_seconds)
         if not listeners:
             continue
-        news = quotas.news(is_whole, context.now_seconds)
+        update = quotas.update(is_full, context.now_seconds)
         for listener in listeners:
-            context.fleet[listener].hear(name, news, context.now_seconds)
+            context.fleet[listener].receive(name, update, context.now_seconds)
 
 
 def left(context, name):
@@ -301,7 +301,7 @@
 @when("the one that stands by lets requests through until it refuses")
 def step_lets_through(context):
     context.before = left(context, DaemonId("d1"))
-    quotas = context.fleet[context.standing_by]
+    quotas = context.fleet[context.standby]
     context.spent = 0.0
     while quotas.take(CUSTOMER, 50.0, context.now_seconds) is None:
         context.spent += 50.0
@@ -326,8 +326,8 @@
 @then("soon it knows what is left")
 def step_told(context):
     exchange(context)
-    assert abs(left(context, context.standing_by) - left(context, DaemonId("d0"))) < 1.0
-    quotas = context.fleet[context.standing_by]
+    assert abs(left(context, context.standby) - left(context, DaemonId("d0"))) < 1.0
+    quotas = context.fleet[context.standby]
     assert quotas.take(CUSTOMER, 1.0, context.now_seconds) is None
 
 
@@ -381,20 +381,20 @@
         others = [DaemonId("d0"), DaemonId("d1")]
         mates = [other for other in others if other != name]
         context.fleet[name].set_entry(mates, context.now_seconds)
-    former.set_standing_by(DaemonId("d0"), 2, context.now_seconds)
+    former.set_standby(DaemonId("d0"), 2, context.now_seconds)
 
 
 @when("it still says so {seconds:g} s later")
 def step_says(context, seconds):
     former = context.fleet[DaemonId("d2")]
-    news = former.news(True, context.now_seconds)
+    update = former.update(True, context.now_seconds)
     counts = {CUSTOMER: fleetquota.QuotaCount(30_000.0, 0.0)}
     context.now_seconds += seconds
     for name in (DaemonId("d0"), DaemonId("d1")):
         quotas = context.fleet[name]
         quotas.listeners(context.now_seconds)
-        said = dataclasses.replace(news, counts=counts, wants_relay=False)
-        quotas.hear(DaemonId("d2"), said, context.now_seconds)
+        said = dataclasses.replace(update, counts=counts, wants_relay=False)
+        quotas.receive(DaemonId("d2"), said, context.now_seconds)
 
 
 @then("the others have all of the quota left")
@@ -405,15 +405,15 @@
 
 @when("another entry daemon speaks to the one that stands by")
 def step_speaks(context):
-    quotas = context.fleet[context.standing_by]
+    quotas = context.fleet[context.standby]
     quotas.take(CUSTOMER, 1.0, context.now_seconds)
-    news = context.fleet[DaemonId("d1")].news(True, context.now_seconds)
-    quotas.hear(DaemonId("d1"), news, context.now_seconds)
+    update = context.fleet[DaemonId("d1")].update(True, context.now_seconds)
+    quotas.receive(DaemonId("d1"), update, context.now_seconds)
 
 
 @then("the one that stands by still has one listener, its relay")
 def step_one_listener(context):
-    listeners = context.fleet[context.standing_by].listeners(context.now_seconds)
+    listeners = context.fleet[context.standby].listeners(context.now_seconds)
     assert listeners == (DaemonId("d0"),), listeners
 
 
--- a/features/decide/steps/randomadmission_steps.py
+++ b/features/decide/steps/randomadmission_steps.py
@@ -21,7 +21,7 @@
 )
 def step_waiting(context, n, count, n_targets):
     context.desks = [
-        Desk(n_targets, max_tries=6, admit_patience_share=0.9) for _ in range(n)
+        Desk(n_targets, max_tries=6, admit_wait_share=0.9) for _ in range(n)
     ]
     context.peers = [PeerLoads() for _ in range(n)]
     context.order = {TargetId(f"target-{index}"): [] for index in range(n_targets)}
--- a/features/decide/steps/ratelimits_steps.py
+++ b/features/decide/steps/ratelimits_steps.py
@@ -7,7 +7,7 @@
 from features.decide.steps.common import Desk, make_work
 from lycheepost.bench.ratelimits import SCENARIOS, Way, measure_way
 from lycheepost.core.ids import TargetGroupId, TargetId
-from lycheepost.decide.ratelimits import SaidLimit, TargetLimits
+from lycheepost.decide.ratelimits import ReportedLimit, TargetLimits
 from lycheepost.decide.records import FinishKind
 
 TARGET = TargetId("target-0")
@@ -37,12 +37,12 @@
 
 @when("a peer tells of a limit of {per_second:g} a second that it heard before")
 def step_old_word(context, per_second):
-    context.limits.note_told(TARGET, SaidLimit(per_second, 100.1))
+    context.limits.note_peer_report(TARGET, ReportedLimit(per_second, 100.1))
 
 
 @when("a peer tells of a limit of {per_second:g} a second that it heard just now")
 def step_new_word(context, per_second):
-    context.limits.note_told(TARGET, SaidLimit(per_second, 101.0))
+    context.limits.note_peer_report(TARGET, ReportedLimit(per_second, 101.0))
 
 
 @then("the limit is {per_second:g} a second")
--- a/features/decide/steps/retries_steps.py
+++ b/features/decide/steps/retries_steps.py
@@ -24,7 +24,7 @@
 @when("{n:d} requests have come in {seconds:g} s")
 def step_requests(context, n, seconds):
     for _ in range(n):
-        context.budget.earn(context.now_seconds)
+        context.budget.note_first_attempt(context.now_seconds)
         context.now_seconds += seconds / n
 
 
@@ -38,7 +38,7 @@
     context.retries = []
     for index in range(n * seconds):
         now_seconds = index / n
-        context.budget.earn(now_seconds)
+        context.budget.note_first_attempt(now_seconds)
         if context.budget.spend(now_seconds):
             context.retries.append(now_seconds)
 
--- a/features/decide/steps/rollout_steps.py
+++ b/features/decide/steps/rollout_steps.py
@@ -104,8 +104,8 @@
 
 @then("the odd one is {outcome}")
 def step_outcome(context, outcome):
-    resting = context.health.resting(context.names, 0.01)
-    assert resting == (frozenset({ODD}) if outcome == "left alone" else frozenset())
+    ejected = context.health.ejected(context.names, 0.01)
+    assert ejected == (frozenset({ODD}) if outcome == "left alone" else frozenset())
 
 
 @when("each of {n:d} targets ends {bad:d} requests as {ending} and {good:d} as GOOD")
@@ -123,14 +123,14 @@
 
 @then("none of them is left alone")
 def step_none(context):
-    assert context.health.resting(context.names, 0.01) == frozenset()
+    assert context.health.ejected(context.names, 0.01) == frozenset()
 
 
 @when("one more is unreachable whenever it is tried for {seconds:d} s")
 def step_unreachable(context, seconds):
     context.n_tries = 0
     while context.now_seconds < seconds:
-        if ODD not in context.health.resting(context.names, context.now_seconds):
+        if ODD not in context.health.ejected(context.names, context.now_seconds):
             context.health.observe(ODD, Ending.UNREACHABLE, context.now_seconds)
             context.n_tries += 1
         context.now_seconds += 0.05
@@ -149,4 +149,4 @@
 @then("it serves again within {seconds:d} s")
 def step_used(context, seconds):
     until = context.answers_seconds + seconds
-    assert ODD not in context.health.resting(context.names, until)
+    assert ODD not in context.health.ejected(context.names, until)
--- a/features/decide/steps/routed.py
+++ b/features/decide/steps/routed.py
@@ -15,14 +15,14 @@
     make_route_table,
 )
 from lycheepost.decide.attempts import (
-    SendEnd,
-    Sends,
+    AttemptEnd,
+    Attempts,
     Step,
     next_step,
 )
 from lycheepost.decide.freshness import KeyRule, may_trust_key
 from lycheepost.decide.routes import Way, choose_group, find_way
-from lycheepost.decide.silence import silence_seconds
+from lycheepost.decide.silence import first_byte_timeout_seconds
 
 LIMITS = CallerLimits(16384, 4194304, 3.0, 15.0)
 GROUP = TargetGroupId("g")
@@ -133,8 +133,8 @@
 
 @when("a request that has {runs:d} runs besides ends as {end} with {left:g} s left")
 def step_end(context, runs, end, left):
-    end = SendEnd(end)
-    sends = Sends(runs, runs).add(end)
+    end = AttemptEnd(end)
+    sends = Attempts(runs, runs).add(end)
     context.step = next_step(context.route, sends, end, left)
 
 
@@ -145,8 +145,8 @@
 
 @when("every send of a request ends as {end}")
 def step_every(context, end):
-    end = SendEnd(end)
-    sends = Sends()
+    end = AttemptEnd(end)
+    sends = Attempts()
     step = Step.TRY_AGAIN
     while step is Step.TRY_AGAIN:
         sends = sends.add(end)
@@ -157,12 +157,14 @@
 @then("it is refused as not run after {n:d} sends")
 def step_refused(context, n):
     assert context.step is Step.REFUSE
-    assert context.sends == Sends(n, 0), context.sends
+    assert context.sends == Attempts(n, 0), context.sends
 
 
 @when("a request has {left:g} s left and {runs:d} runs")
 def step_left(context, left, runs):
-    context.silence = silence_seconds(context.route, Sends(runs, runs), left)
+    context.silence = first_byte_timeout_seconds(
+        context.route, Attempts(runs, runs), left
+    )
 
 
 @then("a silent target is left after {seconds:g} s")
--- a/features/decide/steps/silence_steps.py
+++ b/features/decide/steps/silence_steps.py
@@ -10,11 +10,11 @@
 from lycheepost.callers.relaying import read_patiently
 from lycheepost.core.ids import TargetGroupId
 from lycheepost.core.routing import GroupShare, Route, RouteKind
-from lycheepost.decide.attempts import Sends
-from lycheepost.decide.peerloads import UnderWay
+from lycheepost.decide.attempts import Attempts
+from lycheepost.decide.peerloads import DaemonLoad
 from lycheepost.decide.records import FinishKind
 from lycheepost.decide.retry import RetryTerms
-from lycheepost.decide.silence import gap_limit_seconds, silence_seconds
+from lycheepost.decide.silence import first_byte_timeout_seconds, idle_timeout_seconds
 
 FOREVER = "forever"
 PAUSE_SECONDS = 0.05
@@ -44,9 +44,9 @@
 
 @when("a request of it has {left:g} s left and {runs:d} runs")
 def step_request(context, left, runs):
-    sends = Sends(runs, runs)
-    context.first = silence_seconds(context.route, sends, left)
-    context.gap = gap_limit_seconds(context.route, sends)
+    sends = Attempts(runs, runs)
+    context.first = first_byte_timeout_seconds(context.route, sends, left)
+    context.gap = idle_timeout_seconds(context.route, sends)
 
 
 @then("its first part is waited for {seconds:g} s")
@@ -76,7 +76,7 @@
     desk = context.desk
     for view in desk.views.values():
         if view.target != context.silent:
-            load = UnderWay(queued_tokens=0, n_running=view.concurrency_limit)
+            load = DaemonLoad(queued_tokens=0, n_running=view.concurrency_limit)
             desk.scheduler.note_others(view.target, load, desk.now_seconds)
 
 
--- a/features/peers/steps/noticenews_steps.py
+++ b/features/peers/steps/noticenews_steps.py
@@ -6,7 +6,7 @@
 
 from lycheepost.core.ids import TargetId
 from lycheepost.core.starts import TargetStart
-from lycheepost.decide.ratelimits import SaidLimit
+from lycheepost.decide.ratelimits import ReportedLimit
 from lycheepost.generated.messages import NoticeNews, TargetLimit
 from lycheepost.peers.noticenews import leaving_of, limits_of, to_message
 
@@ -20,10 +20,10 @@
     " ago and of one that ended"
 )
 def step_tells(context, per_second, age_seconds):
-    said_seconds = SENDER_SECONDS - age_seconds
+    reported_seconds = SENDER_SECONDS - age_seconds
     limits = {
-        LIMITED: SaidLimit(per_second, said_seconds),
-        ENDED: SaidLimit(None, said_seconds),
+        LIMITED: ReportedLimit(per_second, reported_seconds),
+        ENDED: ReportedLimit(None, reported_seconds),
     }
     context.per_second = per_second
     context.message = to_message(limits, (), SENDER_SECONDS)
@@ -42,10 +42,10 @@
 
 @then("it has both, as said {age_seconds:g} s ago on its own clock")
 def step_both(context, age_seconds):
-    said_seconds = RECEIVER_SECONDS - age_seconds
+    reported_seconds = RECEIVER_SECONDS - age_seconds
     assert context.taken == [
-        (LIMITED, SaidLimit(context.per_second, said_seconds, is_own=False)),
-        (ENDED, SaidLimit(None, said_seconds, is_own=False)),
+        (LIMITED, ReportedLimit(context.per_second, reported_seconds, is_own=False)),
+        (ENDED, ReportedLimit(None, reported_seconds, is_own=False)),
     ], context.taken
 
 
--- a/lycheepost/app/loads.py
+++ b/lycheepost/app/loads.py
@@ -6,9 +6,9 @@
 from lycheepost.core.clock import Clock
 from lycheepost.core.ids import DaemonId, PrefixDigest, TargetGroupId, TargetId
 from lycheepost.decide.peerloads import (
-    NOTHING,
+    NO_LOAD,
+    DaemonLoad,
     PeerLoads,
-    UnderWay,
     find_changes,
 )
 from lycheepost.decide.records import LoadReport, Placed, PrefixLevel, TargetView
@@ -46,7 +46,7 @@
         self._peers = PeerLoads()
         self._targets: tuple[TargetId, ...] = ()
         self._mates: tuple[DaemonId, ...] = ()
-        self._told: dict[TargetId, UnderWay] = {}
+        self._told: dict[TargetId, DaemonLoad] = {}
         self._told_waiting: tuple[TargetGroupId, ...] = ()
         self._whole_seconds = float("-inf")
         self._task: asyncio.Task[None] | None = None
@@ -74,7 +74,7 @@
 
     def count_running(self, target: TargetId) -> int:
         """Return how many requests of this daemon and its peers run at a target."""
-        own = self._dispatcher.under_way().get(target, NOTHING)
+        own = self._dispatcher.under_way().get(target, NO_LOAD)
         others = self._peers.at(target, self._clock.now_seconds())
         return own.n_running + others.n_running
 
@@ -125,7 +125,7 @@
         if is_known:
             totals = self._peers.totals(now_seconds)
             for target in self._targets:
-                self._dispatcher.note_others(target, totals.get(target, NOTHING))
+                self._dispatcher.note_others(target, totals.get(target, NO_LOAD))
         self._dispatcher.draw_admission(
             lambda group: self._peers.n_waiting(group, now_seconds)
         )
@@ -134,7 +134,7 @@
 
     def _take(self, news: LoadNews, sender: DaemonId) -> None:
         loads = {
-            TargetId(load.target): UnderWay(load.queued_tokens, load.n_running)
+            TargetId(load.target): DaemonLoad(load.queued_tokens, load.n_running)
             for load in news.loads
         }
         now_seconds = self._clock.now_seconds()
--- a/lycheepost/app/losses.py
+++ b/lycheepost/app/losses.py
@@ -8,7 +8,7 @@
 from lycheepost.callers.dispatch import Dispatcher
 from lycheepost.core.clock import Clock
 from lycheepost.core.ids import BodyFingerprint, DaemonId, TargetId
-from lycheepost.decide.quarantine import LossSeen
+from lycheepost.decide.quarantine import LossReport
 from lycheepost.generated.messages import QuarantineNotice, SuspectPlaced
 from lycheepost.peers.exchange import PeerExchange
 
@@ -27,7 +27,7 @@
         dispatcher.on_loss(self._tell_loss)
         dispatcher.on_suspect(self._tell_suspect)
 
-    def _tell_loss(self, loss: LossSeen) -> None:
+    def _tell_loss(self, loss: LossReport) -> None:
         now_seconds = self._clock.now_seconds()
         self._exchange.broadcast(
             QuarantineNotice(
--- a/lycheepost/app/notices.py
+++ b/lycheepost/app/notices.py
@@ -11,13 +11,13 @@
 from lycheepost.core.routing import ListedTarget
 from lycheepost.core.starts import TargetStart
 from lycheepost.decide.notices import (
-    BackOffAsked,
-    IsLeaving,
+    BackOffRequested,
     LimitChanged,
     NoticeChange,
+    TargetLeaving,
     TargetNotices,
 )
-from lycheepost.decide.ratelimits import SaidLimit
+from lycheepost.decide.ratelimits import ReportedLimit
 from lycheepost.decide.records import TargetView
 from lycheepost.generated.messages import NoticeNews
 from lycheepost.peers.exchange import PeerExchange
@@ -164,7 +164,7 @@
                     source=source,
                 )
                 self._dispatcher.set_limit(target, per_second)
-            case IsLeaving(start):
+            case TargetLeaving(start):
                 _log.info(
                     "targets: says that it leaves",
                     target=start.target,
@@ -172,7 +172,7 @@
                     source=source,
                 )
                 self._list.note_leaving(start)
-            case BackOffAsked(target, until_seconds):
+            case BackOffRequested(target, until_seconds):
                 left_seconds = until_seconds - self._clock.now_seconds()
                 _log.info(
                     "targets: back-off asked",
@@ -205,20 +205,20 @@
                 said = self._notices.limits.own(now_seconds).get(target)
                 if said is not None:
                     self._tell({target: said}, [])
-            case IsLeaving(start):
+            case TargetLeaving(start):
                 self._tell({}, [start])
 
     def _tell(
-        self, limits: dict[TargetId, SaidLimit], leaving: list[TargetStart]
+        self, limits: dict[TargetId, ReportedLimit], leaving: list[TargetStart]
     ) -> None:
         message = to_message(limits, leaving, self._clock.now_seconds())
         self._exchange.send_to_each(self._mates, message)
 
     def _take(self, message: NoticeNews, sender: DaemonId) -> None:
         for target, said in limits_of(message, self._clock.now_seconds()):
-            if self._notices.limits.note_told(target, said):
+            if self._notices.limits.note_peer_report(target, said):
                 self._follow(LimitChanged(target, said.per_second), sender)
         for start in leaving_of(message):
             if self._notices.leaving.note(start):
-                self._follow(IsLeaving(start), sender)
+                self._follow(TargetLeaving(start), sender)
         self._set_gauges()
--- a/lycheepost/app/platformdaemon.py
+++ b/lycheepost/app/platformdaemon.py
@@ -36,11 +36,11 @@
 from lycheepost.app.ticker import Ticker
 from lycheepost.core.clock import Clock, SystemClock
 from lycheepost.core.ids import ModelId
-from lycheepost.decide.entry import is_short
+from lycheepost.decide.entry import lacks_entry_daemons
 from lycheepost.decide.fleetquota import FleetQuotas
 from lycheepost.decide.freshness import may_trust_key
 from lycheepost.decide.mechanisms import Mechanism, names_of
-from lycheepost.decide.quotamates import UNKNOWN_DAEMONS
+from lycheepost.decide.quotapeers import ASSUMED_DAEMONS
 from lycheepost.platform.following import (
     OperatorFollower,
     ServerFollower,
@@ -249,7 +249,7 @@
         members = self._made.peers.members
         n_daemons = self._n_daemons()
         if not members.n_lists:
-            n_daemons = max(UNKNOWN_DAEMONS, n_daemons)
+            n_daemons = max(ASSUMED_DAEMONS, n_daemons)
         return count_sharing(members.me().daemon, members.entry(), n_daemons)
 
     def _n_daemons(self) -> int:
@@ -260,7 +260,7 @@
     def _address_seconds(self) -> float:
         members = self._made.peers.members
         seconds = ADDRESS_SECONDS
-        if is_short(len(members.entry()), self._n_daemons()):
+        if lacks_entry_daemons(len(members.entry()), self._n_daemons()):
             seconds = BRIEF_ADDRESS_SECONDS
         return min(seconds, self._made.settings.bounds.address_seconds)
 
--- a/lycheepost/app/platformtraffic.py
+++ b/lycheepost/app/platformtraffic.py
@@ -256,7 +256,7 @@
     return SchedulerSettings(
         switched_off=switched_off,
         max_tries=MOST_TARGETS_A_REQUEST,
-        admit_patience_share=ADMIT_SHARE,
+        admit_wait_share=ADMIT_SHARE,
         prefill_seconds_per_token=PREFILL_SECONDS_PER_TOKEN,
     )
 
--- a/lycheepost/app/quotas.py
+++ b/lycheepost/app/quotas.py
@@ -11,9 +11,9 @@
 from lycheepost.core.quotas import Quota
 from lycheepost.core.routing import RouteTable
 from lycheepost.decide.fleetquota import (
+    FULL_UPDATE_INTERVAL_SECONDS,
     HEARTBEAT_SECONDS,
-    TELL_SECONDS,
-    WHOLE_SECONDS,
+    UPDATE_INTERVAL_SECONDS,
     FleetQuotas,
 )
 from lycheepost.generated.messages import QuotaSpent
@@ -103,14 +103,14 @@
             self._quotas.set_entry(place.mates, now_seconds)
             return
         relays = (daemon for daemon in place.sources if daemon in place.entry)
-        self._quotas.set_standing_by(next(relays, None), len(place.entry), now_seconds)
+        self._quotas.set_standby(next(relays, None), len(place.entry), now_seconds)
 
     async def _run(self) -> None:
         while True:
             if not self._quotas.has_quotas:
                 await asyncio.sleep(IDLE_SECONDS)
                 continue
-            await asyncio.sleep(TELL_SECONDS)
+            await asyncio.sleep(UPDATE_INTERVAL_SECONDS)
             try:
                 self._exchange_once(self._clock.now_seconds())
             except Exception:
@@ -129,15 +129,15 @@
         listeners = self._quotas.listeners(now_seconds)
         if not listeners:
             return
-        is_whole = now_seconds - self._whole_seconds > WHOLE_SECONDS
-        news = self._quotas.news(is_whole, now_seconds)
+        is_whole = now_seconds - self._whole_seconds > FULL_UPDATE_INTERVAL_SECONDS
+        update = self._quotas.update(is_whole, now_seconds)
         is_due = now_seconds - self._told_seconds > HEARTBEAT_SECONDS
-        if not news.counts and not is_due:
+        if not update.counts and not is_due:
             return
         self._told_seconds = now_seconds
         if is_whole:
             self._whole_seconds = now_seconds
-        message = to_message(news)
+        message = to_message(update)
         self._exchange.send_to_each(listeners, message)
 
     def _report(self, now_seconds: float) -> None:
@@ -163,8 +163,8 @@
         _log.info("quotas: share changed", share=share, n_changes=n_changes)
 
     def _take(self, message: QuotaSpent, sender: DaemonId) -> None:
-        news = from_message(message)
-        n_left_out = len(message.customers) - len(news.counts)
+        update = from_message(message)
+        n_left_out = len(message.customers) - len(update.counts)
         if n_left_out:
             _log.warning("quotas: counts left out", sender=sender, n=n_left_out)
-        self._quotas.hear(sender, news, self._clock.now_seconds())
+        self._quotas.receive(sender, update, self._clock.now_seconds())
--- a/lycheepost/bench/backoffs.py
+++ b/lycheepost/bench/backoffs.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 from lycheepost.core.ids import TargetId
-from lycheepost.decide.attempts import MOST_SENDS
+from lycheepost.decide.attempts import MAX_ATTEMPTS
 from lycheepost.decide.backoff import BackOffs
 
 PAUSE_SECONDS = 3.0
@@ -183,7 +183,7 @@
             if target not in request.tried
             and daemon.backoffs.until_seconds(target) <= now_seconds
         ]
-        if not usable or len(request.tried) >= MOST_SENDS:
+        if not usable or len(request.tried) >= MAX_ATTEMPTS:
             self.n_unserved += 1
             return
         target = self._rng.choice(usable)
--- a/lycheepost/bench/quotapolicies.py
+++ b/lycheepost/bench/quotapolicies.py
@@ -16,12 +16,12 @@
 from lycheepost.core.ids import CustomerId, DaemonId
 from lycheepost.core.quotas import Quota
 from lycheepost.decide.fleetquota import (
+    FULL_UPDATE_INTERVAL_SECONDS,
     HEARTBEAT_SECONDS,
-    TELL_SECONDS,
-    WHOLE_SECONDS,
+    UPDATE_INTERVAL_SECONDS,
     FleetQuotas,
 )
-from lycheepost.decide.quotameter import START_SHARE
+from lycheepost.decide.quotameter import START_TOLERANCE_SHARE
 from lycheepost.decide.tokenbucket import TokenBucket
 from lycheepost.peers.quotanews import to_message
 
@@ -68,23 +68,23 @@
 
     def tell(self, now_seconds: float) -> Told | None:
         """Return a message, its size and its listeners."""
-        if now_seconds - self._told_seconds < TELL_SECONDS:
+        if now_seconds - self._told_seconds < UPDATE_INTERVAL_SECONDS:
             return None
-        is_whole = now_seconds - self._whole_seconds > WHOLE_SECONDS
+        is_whole = now_seconds - self._whole_seconds > FULL_UPDATE_INTERVAL_SECONDS
         listeners = self.quotas.listeners(now_seconds)
-        news = self.quotas.news(is_whole, now_seconds)
+        update = self.quotas.update(is_whole, now_seconds)
         is_due = now_seconds - self._told_seconds > HEARTBEAT_SECONDS
-        if not news.counts and not is_due:
+        if not update.counts and not is_due:
             return None
         self._told_seconds = now_seconds
         if is_whole:
             self._whole_seconds = now_seconds
-        n_bytes = len(msgspec.msgpack.encode(to_message(news)))
-        return news, n_bytes, listeners
+        n_bytes = len(msgspec.msgpack.encode(to_message(update)))
+        return update, n_bytes, listeners
 
-    def hear(self, sender: DaemonId, message: Any, now_seconds: float) -> None:
+    def receive(self, sender: DaemonId, message: Any, now_seconds: float) -> None:
         """Take a message."""
-        self.quotas.hear(sender, message, now_seconds)
+        self.quotas.receive(sender, message, now_seconds)
 
 
 def _take_from(bucket: TokenBucket, units: float, now_seconds: float) -> float | None:
@@ -157,7 +157,7 @@
 
     def tell(self, now_seconds: float) -> Told | None:
         """Return a message, its size and its listeners."""
-        if now_seconds - self._told_seconds < TELL_SECONDS:
+        if now_seconds - self._told_seconds < UPDATE_INTERVAL_SECONDS:
             return None
         self._told_seconds = now_seconds
         self._fade(now_seconds)
@@ -167,7 +167,7 @@
         demand = {name: units for name, units in self._demand.items() if units > 1.0}
         return demand, len(msgspec.msgpack.encode(demand)), self._mates
 
-    def hear(self, sender: DaemonId, message: Any, now_seconds: float) -> None:
+    def receive(self, sender: DaemonId, message: Any, now_seconds: float) -> None:
         """Take a message."""
         self._others[sender] = message
 
@@ -197,7 +197,8 @@
                 )
                 continue
             started = min(
-                quota.burst, START_SHARE * self._world.plan.tolerance.of(quota)
+                quota.burst,
+                START_TOLERANCE_SHARE * self._world.plan.tolerance.of(quota),
             )
             level = quota.burst if self._is_first else started
             rate = quota.rate_per_second
@@ -234,7 +235,7 @@
         """Return a message, its size and its listeners."""
         return None
 
-    def hear(self, sender: DaemonId, message: Any, now_seconds: float) -> None:
+    def receive(self, sender: DaemonId, message: Any, now_seconds: float) -> None:
         """Take a message; none is sent."""
 
 
--- a/lycheepost/bench/quotaworld.py
+++ b/lycheepost/bench/quotaworld.py
@@ -64,7 +64,7 @@
         """Return a message, its size in bytes and who gets it; None for no message."""
         ...
 
-    def hear(self, sender: DaemonId, message: Any, now_seconds: float) -> None:
+    def receive(self, sender: DaemonId, message: Any, now_seconds: float) -> None:
         """Take a message."""
         ...
 
@@ -322,4 +322,4 @@
                 and is_linked
                 and self.can_reach(sender, listener)
             ):
-                daemon.policy.hear(sender, message, self.now_seconds)
+                daemon.policy.receive(sender, message, self.now_seconds)
--- a/lycheepost/bench/ratelimits.py
+++ b/lycheepost/bench/ratelimits.py
@@ -13,7 +13,7 @@
 from dataclasses import asdict, dataclass, field
 from enum import Enum
 
-from lycheepost.decide.sendpace import SendPace, make_send_pace
+from lycheepost.decide.requestpacer import RequestPacer, make_request_pacer
 
 WINDOW_SECONDS = 4.0
 GRACE_SECONDS = 3.0
@@ -122,7 +122,7 @@
 
 @dataclass(slots=True)
 class _Daemon:
-    pace: SendPace | CountedPace | None = None
+    pace: RequestPacer | CountedPace | None = None
     heard_seconds: float = float("inf")
     """When an answer to it first named the limit."""
     sent_seconds: list[float] = field(default_factory=list)
@@ -207,8 +207,8 @@
         match daemon.pace:
             case None:
                 return True
-            case SendPace():
-                daemon.pace.renew_unused(now_seconds, self._rng)
+            case RequestPacer():
+                daemon.pace.redraw_expired(now_seconds, self._rng)
                 return daemon.pace.next_seconds <= now_seconds
             case CountedPace():
                 return daemon.pace.may_send(now_seconds)
@@ -242,8 +242,8 @@
 
     def _make_pace(
         self, daemon: _Daemon, n_daemons: int, now_seconds: float
-    ) -> SendPace:
-        return make_send_pace(
+    ) -> RequestPacer:
+        return make_request_pacer(
             self._scenario.per_second,
             n_daemons,
             now_seconds,
--- a/lycheepost/callers/dispatch.py
+++ b/lycheepost/callers/dispatch.py
@@ -19,8 +19,8 @@
     TargetGroupId,
     TargetId,
 )
-from lycheepost.decide.peerloads import UnderWay
-from lycheepost.decide.quarantine import LossSeen
+from lycheepost.decide.peerloads import DaemonLoad
+from lycheepost.decide.quarantine import LossReport
 from lycheepost.decide.records import (
     Dispatch,
     FinishKind,
@@ -60,7 +60,7 @@
         self._scheduler = scheduler
         self._clock = clock
         self._waiting: dict[RequestId, asyncio.Future[Outcome]] = {}
-        self._on_loss: Callable[[LossSeen], None] | None = None
+        self._on_loss: Callable[[LossReport], None] | None = None
         self._on_suspect: Callable[[TargetId], None] | None = None
         self._ticker: asyncio.Task[None] | None = None
         self._has_work = asyncio.Event()
@@ -169,7 +169,7 @@
         now_seconds = self._clock.now_seconds()
         self._scheduler.observe_cache_events(target, boot_id, events, now_seconds)
 
-    def note_others(self, target: TargetId, load: UnderWay) -> None:
+    def note_others(self, target: TargetId, load: DaemonLoad) -> None:
         """Pass on what the other daemons have under way at a target."""
         self._scheduler.note_others(target, load, self._clock.now_seconds())
 
@@ -206,7 +206,7 @@
         """Send out what waits and has room by what the others told."""
         self._wake(self._scheduler.pump(self._clock.now_seconds()))
 
-    def under_way(self) -> dict[TargetId, UnderWay]:
+    def under_way(self) -> dict[TargetId, DaemonLoad]:
         """Return what is under way from here, for the peers."""
         return self._scheduler.under_way()
 
@@ -233,7 +233,7 @@
         """Count a target loss that another daemon saw; times of our clock."""
         self._scheduler.note_loss(fingerprint, started_seconds, lost_seconds)
 
-    def on_loss(self, callback: Callable[[LossSeen], None]) -> None:
+    def on_loss(self, callback: Callable[[LossReport], None]) -> None:
         """Call ``callback`` with each loss that counts, at once."""
         self._on_loss = callback
 
--- a/lycheepost/callers/forwarding.py
+++ b/lycheepost/callers/forwarding.py
@@ -37,8 +37,8 @@
 from lycheepost.core.ids import TargetId
 from lycheepost.core.routing import ListedTarget, RouteKind
 from lycheepost.decide.attempts import (
-    SendEnd,
-    Sends,
+    AttemptEnd,
+    Attempts,
     Step,
     last_step,
     next_step,
@@ -46,7 +46,7 @@
 from lycheepost.decide.freshness import may_trust_key
 from lycheepost.decide.records import Dispatch, FinishKind, Refuse
 from lycheepost.decide.routes import RouteFault, Way, find_way
-from lycheepost.decide.silence import gap_limit_seconds, silence_seconds
+from lycheepost.decide.silence import first_byte_timeout_seconds, idle_timeout_seconds
 from lycheepost.decide.targethealth import Ending
 from lycheepost.targets.errors import TargetError, TargetUnreachable
 from lycheepost.targets.forward import ForwardAnswer
@@ -61,9 +61,9 @@
 """A refusal is a short sentence."""
 
 _FINISH_KINDS = {
-    SendEnd.NOT_SENT: FinishKind.TARGET_REFUSED,
-    SendEnd.NOT_RUN: FinishKind.TARGET_REFUSED,
-    SendEnd.FAILED: FinishKind.COMPLETE,
+    AttemptEnd.NOT_SENT: FinishKind.TARGET_REFUSED,
+    AttemptEnd.NOT_RUN: FinishKind.TARGET_REFUSED,
+    AttemptEnd.FAILED: FinishKind.COMPLETE,
 }
 
 _log = structlog.get_logger(part="forward")
@@ -115,7 +115,7 @@
         self._way = way
         self._relay = AnswerRelay(deps, request, way.route, caller)
         self._work = make_work(deps, request, way, route_table(deps))
-        self._sends = Sends()
+        self._sends = Attempts()
         self._is_sent = False
         self._has_retry = False
         self._charge = make_charge(deps, request, way)
@@ -195,7 +195,7 @@
                 return
             if not await self._goes_on(end):
                 return
-            is_free = end is SendEnd.NOT_SENT or self._has_retry
+            is_free = end is AttemptEnd.NOT_SENT or self._has_retry
             self._has_retry = False
             outcome = await self._deps.dispatcher.readmit(self._work, is_free)
 
@@ -210,7 +210,7 @@
             raise outcome_unknown()
         raise from_refusal(refusal, Executed.NO)
 
-    async def _goes_on(self, end: SendEnd) -> bool:
+    async def _goes_on(self, end: AttemptEnd) -> bool:
         """Judge a send that did not serve the caller; False when it is over.
 
         Raises:
@@ -222,7 +222,7 @@
         step = next_step(self._way.route, self._sends, end, remaining_seconds)
         if step is Step.TRY_AGAIN and self._relay.has_begun:
             can_go_on = self._relay.can_continue
-            step = step if can_go_on else last_step(self._sends, SendEnd.CUT)
+            step = step if can_go_on else last_step(self._sends, AttemptEnd.CUT)
         match step:
             case Step.TRY_AGAIN:
                 if self._relay.has_begun:
@@ -241,21 +241,21 @@
                     raise outcome_unknown()
         return False
 
-    async def _try_target(self, dispatch: Dispatch) -> SendEnd | None:
+    async def _try_target(self, dispatch: Dispatch) -> AttemptEnd | None:
         """Send to one target; None when the caller has its answer."""
         target = dispatch.target
         self._work = replace(self._work, excluded=self._work.excluded | {target})
-        end: SendEnd | None = None
+        end: AttemptEnd | None = None
         kind = FinishKind.CANCELLED
         sent_seconds = self._deps.clock.now_seconds()
         reason = "cancelled"
         try:
             listed = self._deps.targets.get(target)
             if listed is None:
-                end, reason = SendEnd.NOT_SENT, "the target has left"
+                end, reason = AttemptEnd.NOT_SENT, "the target has left"
                 kind = FinishKind.TARGET_REFUSED
             elif self._deps.is_backed_off(target):
-                end, reason = SendEnd.NOT_SENT, "the target has asked for a back-off"
+                end, reason = AttemptEnd.NOT_SENT, "the target has asked for a back-off"
                 kind = FinishKind.TARGET_REFUSED
             else:
                 end, reason = await self._send(listed)
@@ -282,7 +282,7 @@
                 longest_gap_seconds=self._relay.longest_gap_seconds,
             )
 
-    async def _send(self, listed: ListedTarget) -> tuple[SendEnd | None, str]:
+    async def _send(self, listed: ListedTarget) -> tuple[AttemptEnd | None, str]:
         """Send to one target and relay its answer.
 
         Returns:
@@ -292,7 +292,7 @@
         # its confirmation grown old, while the request waited.
         identify(self._deps, self._request)
         call = make_call(self._deps, self._request, self._way, listed, self._progress())
-        wait_seconds = silence_seconds(
+        wait_seconds = first_byte_timeout_seconds(
             self._way.route, self._sends, call.remaining_seconds
         )
         target = listed.target
@@ -303,15 +303,15 @@
             sent = await await_head(send, wait_seconds, self._may_leave)
         except TimeoutError:
             self._deps.targets.note_end(target, Ending.BAD)
-            return SendEnd.LOST, "silent"
+            return AttemptEnd.LOST, "silent"
         match sent:
             case Failure(TargetUnreachable(reason=reason)):
                 self._is_sent = False
                 self._deps.targets.note_end(target, Ending.UNREACHABLE)
-                return SendEnd.NOT_SENT, reason
+                return AttemptEnd.NOT_SENT, reason
             case Failure(TargetError(reason=reason)):
                 self._deps.targets.note_end(target, Ending.BAD)
-                return SendEnd.LOST, reason
+                return AttemptEnd.LOST, reason
             case Success(answer):
                 return await self._take_answer(
                     listed, answer, wait_seconds, sent_seconds
@@ -320,7 +320,7 @@
 
     def _may_leave(self) -> bool:
         """Reserve a try at another target before a silent one is given up."""
-        lost = SendEnd.CUT if self._relay.has_begun else SendEnd.LOST
+        lost = AttemptEnd.CUT if self._relay.has_begun else AttemptEnd.LOST
         step = next_step(
             self._way.route, self._sends.add(lost), lost, self._remaining_seconds()
         )
@@ -337,7 +337,7 @@
         answer: ForwardAnswer,
         wait_seconds: float,
         sent_seconds: float,
-    ) -> tuple[SendEnd | None, str]:
+    ) -> tuple[AttemptEnd | None, str]:
         target = listed.target
         head = answer.head
         self._deps.on_head(listed, head, sent_seconds)
@@ -345,7 +345,7 @@
             self._is_sent = False
             await self._read_rejection(answer)
             self._note_rejection(target, answer)
-            return SendEnd.NOT_RUN, f"rejected with {head.status}"
+            return AttemptEnd.NOT_RUN, f"rejected with {head.status}"
         if self._work.model and head.weights_version is not None:
             self._deps.targets.note_weights(
                 target, self._work.model, head.weights_version
@@ -353,13 +353,13 @@
         try:
             patience = StreamPatience(
                 wait_seconds,
-                gap_limit_seconds(self._way.route, self._sends),
+                idle_timeout_seconds(self._way.route, self._sends),
                 self._may_leave,
             )
             result = await self._relay.take(answer, patience, self._note_first)
         except SilentTarget:
             self._deps.targets.note_end(target, Ending.BAD)
-            return SendEnd.LOST, "silent"
+            return AttemptEnd.LOST, "silent"
         finally:
             answer.close()
         ending = Ending.GOOD if result.end is None else Ending.BAD
@@ -398,7 +398,7 @@
             targets.note_weights(target, self._work.model, head.weights_version)
 
     async def _finish_kind(
-        self, listed: ListedTarget, end: SendEnd | None
+        self, listed: ListedTarget, end: AttemptEnd | None
     ) -> FinishKind:
         """Return what the end of a send says of the target.
 
--- a/lycheepost/callers/forwardwork.py
+++ b/lycheepost/callers/forwardwork.py
@@ -10,7 +10,7 @@
 from lycheepost.decide.promptlevels import make_scope, prompt_levels
 from lycheepost.decide.records import PrefixLevel, Priority, Work
 from lycheepost.decide.routes import Way, choose_group, choose_kv_store
-from lycheepost.decide.silence import stream_patience_seconds
+from lycheepost.decide.silence import caller_stream_timeout_seconds
 
 RANK_STEPS = 3
 """Ranks of routes told apart within one rank of a customer. Engines know ten ranks,
@@ -27,7 +27,7 @@
         patience = min(patience, request.patience_seconds)
     if route.kind is not RouteKind.STREAM:
         return patience
-    return min(patience, stream_patience_seconds(route))
+    return min(patience, caller_stream_timeout_seconds(route))
 
 
 def continued_work(work: Work, route: Route, elapsed_seconds: float) -> Work:
@@ -37,7 +37,7 @@
     arrival it is spent soon, and the rest of a long stream would be refused as too
     late wherever there is a queue.
     """
-    patience = elapsed_seconds + stream_patience_seconds(route)
+    patience = elapsed_seconds + caller_stream_timeout_seconds(route)
     return replace(work, patience_seconds=patience)
 
 
--- a/lycheepost/callers/quotacharge.py
+++ b/lycheepost/callers/quotacharge.py
@@ -66,7 +66,7 @@
         if self._quotas is None or self.units == 0.0 or executed is not Executed.NO:
             return
         now_seconds = self._clock.now_seconds()
-        self._quotas.give_back(self._customer, self.units, now_seconds)
+        self._quotas.refund(self._customer, self.units, now_seconds)
         self.units = 0.0
 
 
--- a/lycheepost/callers/relaying.py
+++ b/lycheepost/callers/relaying.py
@@ -15,7 +15,7 @@
 
 from lycheepost.callers.forwarddeps import CallerSide, ForwardDeps, ForwardRequest
 from lycheepost.core.routing import Route, RouteKind
-from lycheepost.decide.attempts import SendEnd
+from lycheepost.decide.attempts import AttemptEnd
 from lycheepost.targets.errors import TargetError
 from lycheepost.targets.events import EventSplitter
 from lycheepost.targets.forward import ForwardAnswer
@@ -47,17 +47,17 @@
     OUT_OF_ORDER = "out_of_order"
 
     @property
-    def end(self) -> SendEnd | None:
+    def end(self) -> AttemptEnd | None:
         """Return what it means for the request; None when nothing more is due."""
         match self:
             case RelayEnd.SERVED | RelayEnd.CALLER_LEFT:
                 return None
             case RelayEnd.FAILED:
-                return SendEnd.FAILED
+                return AttemptEnd.FAILED
             case RelayEnd.UNSEALED | RelayEnd.BROKEN:
-                return SendEnd.BROKEN
+                return AttemptEnd.BROKEN
             case RelayEnd.CUT | RelayEnd.FELL_SILENT | RelayEnd.OUT_OF_ORDER:
-                return SendEnd.CUT
+                return AttemptEnd.CUT
 
 
 @dataclass(frozen=True, slots=True)
--- a/lycheepost/core/quotas.py
+++ b/lycheepost/core/quotas.py
@@ -69,7 +69,7 @@
         return self.share * allowed + self.units
 
 
-def quota_faults(quota: Quota) -> tuple[str, ...]:
+def quota_errors(quota: Quota) -> tuple[str, ...]:
     """Return what is wrong with a quota, one sentence for each fault."""
     faults = [
         f"{name} is {value}, not a number from 0 on."
--- a/lycheepost/decide/admission.py
+++ b/lycheepost/decide/admission.py
@@ -136,7 +136,7 @@
 
 def budget_seconds(work: Work, settings: SchedulerSettings) -> float:
     """Return the wait for the first token that ``work`` may be promised."""
-    share = work.patience_seconds * settings.admit_patience_share
+    share = work.patience_seconds * settings.admit_wait_share
     return min(share, settings.queue_seconds)
 
 
--- a/lycheepost/decide/attempts.py
+++ b/lycheepost/decide/attempts.py
@@ -11,16 +11,16 @@
 
 from lycheepost.core.routing import Route
 
-MOST_SENDS = 5
+MAX_ATTEMPTS = 5
 """Sends of one request, whatever they came to. Each further one finds the fleet in
 the same state a few milliseconds later; its caller is served better by a refusal
 that tells when to come back."""
 
-MIN_TRY_SECONDS = 0.03
+MIN_ATTEMPT_SECONDS = 0.03
 """With less time left no target can answer: a round trip and the shortest work."""
 
 
-class SendEnd(Enum):
+class AttemptEnd(Enum):
     """How one send ended without an answer for the caller."""
 
     NOT_SENT = "not_sent"
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sends:
+class Attempts:
     """What has become of a request so far.
 
     Attributes:
@@ -63,36 +63,36 @@
     n_sends: int = 0
     n_runs: int = 0
 
-    def add(self, end: SendEnd) -> "Sends":
+    def add(self, end: AttemptEnd) -> "Attempts":
         """Return the counts after one more send."""
-        has_run = end not in (SendEnd.NOT_SENT, SendEnd.NOT_RUN)
-        return Sends(self.n_sends + 1, self.n_runs + has_run)
+        has_run = end not in (AttemptEnd.NOT_SENT, AttemptEnd.NOT_RUN)
+        return Attempts(self.n_sends + 1, self.n_runs + has_run)
 
 
 def next_step(
-    route: Route, sends: Sends, end: SendEnd, remaining_seconds: float
+    route: Route, attempts: Attempts, end: AttemptEnd, remaining_seconds: float
 ) -> Step:
     """Return what follows a send that ended in ``end``.
 
     Args:
         route: Says what may be repeated, and how often.
-        sends: Counts with this send.
+        attempts: Counts with this send.
         end: How it ended.
         remaining_seconds: Time until the caller leaves.
     """
-    has_time = remaining_seconds >= MIN_TRY_SECONDS and sends.n_sends < MOST_SENDS
-    may_repeat = route.is_repeatable and sends.n_runs < route.max_runs
-    if has_time and (may_repeat or sends.n_runs == 0):
+    has_time = remaining_seconds >= MIN_ATTEMPT_SECONDS and attempts.n_sends < MAX_ATTEMPTS
+    may_repeat = route.is_repeatable and attempts.n_runs < route.max_runs
+    if has_time and (may_repeat or attempts.n_runs == 0):
         return Step.TRY_AGAIN
-    return last_step(sends, end)
+    return last_step(attempts, end)
 
 
-def last_step(sends: Sends, end: SendEnd) -> Step:
+def last_step(attempts: Attempts, end: AttemptEnd) -> Step:
     """Return how a request ends when nothing more can be tried."""
     match end:
-        case SendEnd.FAILED:
+        case AttemptEnd.FAILED:
             return Step.PASS_ON
-        case SendEnd.CUT:
+        case AttemptEnd.CUT:
             return Step.CUT_OFF
         case _:
-            return Step.REFUSE if sends.n_runs == 0 else Step.GIVE_UP
+            return Step.REFUSE if attempts.n_runs == 0 else Step.GIVE_UP
--- a/lycheepost/decide/backoff.py
+++ b/lycheepost/decide/backoff.py
@@ -9,7 +9,7 @@
 
 from lycheepost.core.ids import TargetId
 
-MOST_SECONDS = 300.0
+MAX_BACK_OFF_SECONDS = 300.0
 """A longer time counts as this: one that was written wrongly must not keep a target
 from this daemon for good."""
 
@@ -22,7 +22,7 @@
 
     def note(self, target: TargetId, for_seconds: float, now_seconds: float) -> bool:
         """Take a time that a target asks for; return whether it ends later now."""
-        until_seconds = now_seconds + min(MOST_SECONDS, for_seconds)
+        until_seconds = now_seconds + min(MAX_BACK_OFF_SECONDS, for_seconds)
         if until_seconds <= max(now_seconds, self.until_seconds(target)):
             return False
         self._until_seconds[target] = until_seconds
--- a/lycheepost/decide/entry.py
+++ b/lycheepost/decide/entry.py
@@ -23,33 +23,33 @@
 SMALL_FLEET_DAEMONS = 12
 """In a fleet of up to so many all are entry daemons: each can hear all others."""
 
-FEWEST_ENTRY_DAEMONS = 10
+MIN_ENTRY_DAEMONS = 10
 """The loss of one takes a tenth of the requests under way with it; a store of KV cache
 holds a dozen questions for its events, so that all of them can follow it."""
 
-MOST_ENTRY_DAEMONS = 24
+MAX_ENTRY_DAEMONS = 24
 """Each hears the load of all others up to thirty times a second, so what all hear grows
 with the square of their number."""
 
-LEAST_ENTRY_SHARE = 0.5
+MIN_ENTRY_SHARE = 0.5
 """Part of the entry daemons with which the others carry the traffic for a while."""
 
-MOST_STORE_FOLLOWERS = 10
+MAX_STORE_FOLLOWERS = 10
 """Daemons that follow the cache events of a KV store. A store holds a dozen such
 questions at once and refuses the others, each at the price of a health check. Two are
 left for daemons that start again."""
 
-MOST_ENGINE_FOLLOWERS = 8
+MAX_ENGINE_FOLLOWERS = 8
 """Questions for its cache events that an engine holds at once."""
 
 _FOLLOWER_KEY = hash_bytes(b"kv-store")
 
-TARGET_CORES = 0.1
+CORES_PER_TARGET = 0.1
 """Processor cores of entry daemons for each target: a target is sent some six requests
 a second, each takes some 5 ms, and half of the daemons may be gone in a burst of 1.7
 times the usual load."""
 
-TARGET_LINK_MBPS = 3.0
+LINK_MBPS_PER_TARGET = 3.0
 """The same for network links: by the sizes of requests and answers some 1 Mbit/s for
 each target, in and out."""
 
@@ -72,13 +72,13 @@
         return frozenset(item.daemon for item in ordered)
     chosen: list[FleetMember] = []
     for candidate in ordered:
-        if len(chosen) >= MOST_ENTRY_DAEMONS or _is_enough(chosen, n_targets):
+        if len(chosen) >= MAX_ENTRY_DAEMONS or _is_enough(chosen, n_targets):
             break
         chosen.append(candidate)
     return frozenset(item.daemon for item in chosen)
 
 
-def is_short(n_entry: int, n_daemons: int) -> bool:
+def lacks_entry_daemons(n_entry: int, n_daemons: int) -> bool:
     """Tell whether callers are sent to far fewer daemons than there should be.
 
     The load: all daemons have lost power, or could not reach the store, and the first
@@ -91,13 +91,13 @@
         n_entry: Daemons that callers are sent to.
         n_daemons: Daemons of the fleet, also those that cannot serve for a moment.
     """
-    n_wanted = min(FEWEST_ENTRY_DAEMONS, n_daemons)
-    return n_entry < LEAST_ENTRY_SHARE * n_wanted
+    n_wanted = min(MIN_ENTRY_DAEMONS, n_daemons)
+    return n_entry < MIN_ENTRY_SHARE * n_wanted
 
 
 def follows_stores(me: DaemonId, entry: frozenset[DaemonId]) -> bool:
     """Tell whether a daemon is one of those that follow the KV stores."""
-    return me in rendezvous_order(_FOLLOWER_KEY, entry)[:MOST_STORE_FOLLOWERS]
+    return me in rendezvous_order(_FOLLOWER_KEY, entry)[:MAX_STORE_FOLLOWERS]
 
 
 def follows_engines(me: DaemonId, entry: frozenset[DaemonId]) -> bool:
@@ -106,7 +106,7 @@
     An engine holds fewer such questions than a store. Where there are more entry
     daemons they tell each other what they placed, and ask no engine.
     """
-    return me in entry and len(entry) <= MOST_ENGINE_FOLLOWERS
+    return me in entry and len(entry) <= MAX_ENGINE_FOLLOWERS
 
 
 def _in_order(candidates: Iterable[FleetMember]) -> list[FleetMember]:
@@ -129,11 +129,11 @@
 
 def _is_enough(chosen: list[FleetMember], n_targets: int) -> bool:
     """Tell whether so many can carry the traffic of the targets."""
-    if len(chosen) < FEWEST_ENTRY_DAEMONS:
+    if len(chosen) < MIN_ENTRY_DAEMONS:
         return False
     n_cores = sum(item.capacity.processor_cores for item in chosen)
     link_mbps = sum(item.capacity.link_mbps for item in chosen)
     return (
-        n_cores >= TARGET_CORES * n_targets
-        and link_mbps >= TARGET_LINK_MBPS * n_targets
+        n_cores >= CORES_PER_TARGET * n_targets
+        and link_mbps >= LINK_MBPS_PER_TARGET * n_targets
     )
--- a/lycheepost/decide/feedtree.py
+++ b/lycheepost/decide/feedtree.py
@@ -26,7 +26,7 @@
 ONE_GROUP_DAEMONS = 12
 """A fleet of up to so many is one group."""
 
-MOST_SOURCES = 3
+MAX_SOURCES = 3
 """Daemons that are asked in turn before the store is."""
 
 
@@ -45,10 +45,10 @@
     own = next(group for group in groups if me in group)
     before = _before(me, own, serving)
     if not before:
-        firsts = [_first(group, me, serving) for group in groups]
-        heads = sorted((item for item in firsts if item is not None), key=_order_key)
-        before = _before(me, heads, serving)
-    return tuple(item.daemon for item in before[:MOST_SOURCES])
+        firsts = [_leader(group, me, serving) for group in groups]
+        leaders = sorted((item for item in firsts if item is not None), key=_order_key)
+        before = _before(me, leaders, serving)
+    return tuple(item.daemon for item in before[:MAX_SOURCES])
 
 
 def _make_groups(members: Iterable[FleetMember]) -> list[list[FleetMember]]:
@@ -72,7 +72,7 @@
     return -member.capacity.link_mbps, hash_bytes(member.daemon.encode())
 
 
-def _first(
+def _leader(
     group: list[FleetMember], me: FleetMember, serving: Container[DaemonId]
 ) -> FleetMember | None:
     return next((item for item in group if item is me or item.daemon in serving), None)
--- a/lycheepost/decide/fleetquota.py
+++ b/lycheepost/decide/fleetquota.py
@@ -15,22 +15,22 @@
 
 from lycheepost.core.ids import CustomerId, DaemonId
 from lycheepost.core.quotas import Quota, QuotaTolerance
-from lycheepost.decide.quotamates import LINGER_SECONDS, UNKNOWN_DAEMONS, QuotaMates
 from lycheepost.decide.quotameter import QuotaCount, QuotaMeter, make_meter
+from lycheepost.decide.quotapeers import ASSUMED_DAEMONS, LINGER_SECONDS, QuotaPeers
 
-TELL_SECONDS = 0.05
+UPDATE_INTERVAL_SECONDS = 0.05
 """How soon a mate is told of what was let through. A customer that asks for five times
 its quota is let through a quarter of a second's worth of it more."""
 
 HEARTBEAT_SECONDS = 0.2
 """How often a mate is told though nothing was let through."""
 
-WHOLE_SECONDS = 1.0
+FULL_UPDATE_INTERVAL_SECONDS = 1.0
 """How often it is told of all customers, for what was lost on the way."""
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaNews:
+class QuotaUpdate:
     """What one daemon says to another.
 
     Attributes:
@@ -61,14 +61,14 @@
     """
 
     def __init__(self, start: int, started_seconds: float) -> None:
-        self.share = 1.0 / UNKNOWN_DAEMONS
+        self.share = 1.0 / ASSUMED_DAEMONS
         self.n_share_changes = 0
         self._start = start
         self._started_seconds = started_seconds
         self._tolerance = QuotaTolerance()
         self._meters: dict[CustomerId, QuotaMeter] = {}
-        self._mates = QuotaMates(started_seconds)
-        self._looked_seconds = float("-inf")
+        self._peers = QuotaPeers(started_seconds)
+        self._refreshed_seconds = float("-inf")
         self._spent_seconds = float("-inf")
 
     @property
@@ -102,18 +102,18 @@
 
     def set_fleet(self, n_daemons: int) -> None:
         """Follow how many daemons there may be, also those that were not heard yet."""
-        self._mates.set_fleet(n_daemons)
+        self._peers.set_fleet(n_daemons)
 
-    def set_entry(self, mates: Iterable[DaemonId], now_seconds: float) -> None:
+    def set_entry(self, peers: Iterable[DaemonId], now_seconds: float) -> None:
         """Follow the other daemons that callers are sent to, as one of them."""
-        if self._mates.is_standing_by:
+        if self._peers.is_standby:
             # Those who forgot this daemon would count what it spent as one of them
             # before a second time.
-            self._count_anew()
-        self._mates.set_entry(mates, now_seconds)
-        self._look(now_seconds)
+            self._restart_counts()
+        self._peers.set_entry(peers, now_seconds)
+        self._refresh_peers(now_seconds)
 
-    def set_standing_by(
+    def set_standby(
         self, relay: DaemonId | None, n_entry: int, now_seconds: float
     ) -> None:
         """Follow whom to tell as a daemon that callers are not sent to.
@@ -123,28 +123,28 @@
             n_entry: Daemons that callers are sent to.
             now_seconds: The present time.
         """
-        if self._mates.is_alone and relay != self._mates.relay:
-            self._count_anew()
-        self._mates.set_standing_by(relay, n_entry)
-        self._look(now_seconds)
+        if self._peers.needs_relay and relay != self._peers.relay:
+            self._restart_counts()
+        self._peers.set_standby(relay, n_entry)
+        self._refresh_peers(now_seconds)
 
     def listeners(self, now_seconds: float) -> tuple[DaemonId, ...]:
         """Return who is told.
 
         A daemon that stands by tells its relay, while there is something to tell.
         """
-        self._look(now_seconds)
-        if not self._mates.is_alone:
-            return self._mates.listeners()
-        relay = self._mates.relay
+        self._refresh_peers(now_seconds)
+        if not self._peers.needs_relay:
+            return self._peers.listeners()
+        relay = self._peers.relay
         has_spent = now_seconds - self._spent_seconds < LINGER_SECONDS
         return (relay,) if relay is not None and has_spent else ()
 
-    def news(self, is_whole: bool, now_seconds: float) -> QuotaNews:
+    def update(self, is_full: bool, now_seconds: float) -> QuotaUpdate:
         """Return what the listeners shall be told now.
 
         Args:
-            is_whole: Of every customer that has less than its burst left, also where
+            is_full: Of every customer that has less than its burst left, also where
                 nothing was let through here.
             now_seconds: The present time.
         """
@@ -152,68 +152,76 @@
         counts = {
             customer: QuotaCount(meter.spent, meter.fleet.level)
             for customer, meter in self._meters.items()
-            if meter.is_changed or (is_whole and meter.fleet.level < meter.quota.burst)
+            if meter.is_changed or (is_full and meter.fleet.level < meter.quota.burst)
         }
         for customer in counts:
             self._meters[customer].is_changed = False
-        mates = self._mates
-        return QuotaNews(
-            self._start, mates.is_entry, mates.is_synced, mates.is_alone, counts
+        peers = self._peers
+        return QuotaUpdate(
+            self._start, peers.is_entry, peers.is_synced, peers.needs_relay, counts
         )
 
-    def hear(self, daemon: DaemonId, news: QuotaNews, now_seconds: float) -> None:
+    def receive(
+        self, daemon: DaemonId, update: QuotaUpdate, now_seconds: float
+    ) -> None:
         """Take what another daemon says.
 
         A daemon that is no mate any more, and was forgotten here, isn't one again for
         what it still says: its counts reach back to what was counted long ago.
         """
-        for meter, _count in self._known(news):
+        for meter, _count in self._known(update):
             meter.catch_up(now_seconds)
-        if news.wants_relay:
-            self._hear_relayed(daemon, news, now_seconds)
-        elif self._mates.is_alone:
-            self._hear_relay(daemon, news, now_seconds)
-        elif news.is_entry or self._mates.is_mate(daemon):
-            self._hear_mate(daemon, news, now_seconds)
-        self._look(now_seconds)
-
-    def _hear_relayed(
-        self, daemon: DaemonId, news: QuotaNews, now_seconds: float
+        if update.wants_relay:
+            self._receive_from_standby(daemon, update, now_seconds)
+        elif self._peers.needs_relay:
+            self._receive_from_relay(daemon, update, now_seconds)
+        elif update.is_entry or self._peers.is_peer(daemon):
+            self._receive_from_peer(daemon, update, now_seconds)
+        self._refresh_peers(now_seconds)
+
+    def _receive_from_standby(
+        self, daemon: DaemonId, update: QuotaUpdate, now_seconds: float
     ) -> None:
         """Count what a daemon that stands by lets through as let through here."""
-        goes_on = self._mates.note_relayed(daemon, news.start, now_seconds)
-        for meter, count in self._known(news):
-            if not goes_on:
-                meter.told.pop(daemon, None)
-            self._spend(meter, meter.note_spent(daemon, count.spent), now_seconds)
-
-    def _hear_relay(
-        self, daemon: DaemonId, news: QuotaNews, now_seconds: float
+        is_same_start = self._peers.note_relayed(daemon, update.start, now_seconds)
+        for meter, count in self._known(update):
+            if not is_same_start:
+                meter.reported_spent.pop(daemon, None)
+            self._spend(
+                meter, meter.update_reported_spent(daemon, count.spent), now_seconds
+            )
+
+    def _receive_from_relay(
+        self, daemon: DaemonId, update: QuotaUpdate, now_seconds: float
     ) -> None:
         """Take over what is left; the relay has counted what was spent here."""
-        if daemon != self._mates.relay:
+        if daemon != self._peers.relay:
             return
-        self._mates.note_relay(now_seconds)
-        for meter, count in self._known(news):
-            meter.take_level(count)
-
-    def _hear_mate(self, daemon: DaemonId, news: QuotaNews, now_seconds: float) -> None:
-        mates = self._mates
-        goes_on = mates.note_mate(daemon, news.start, news.is_entry, now_seconds)
-        adopts = news.is_synced and not mates.is_synced
-        for meter, count in self._known(news):
-            if not goes_on:
-                meter.told.pop(daemon, None)
-            is_first = daemon not in meter.told
-            if adopts or (is_first and news.is_synced):
+        self._peers.note_relay(now_seconds)
+        for meter, count in self._known(update):
+            meter.adopt_level(count)
+
+    def _receive_from_peer(
+        self, daemon: DaemonId, update: QuotaUpdate, now_seconds: float
+    ) -> None:
+        peers = self._peers
+        is_same_start = peers.note_peer(
+            daemon, update.start, update.is_entry, now_seconds
+        )
+        adopts = update.is_synced and not peers.is_synced
+        for meter, count in self._known(update):
+            if not is_same_start:
+                meter.reported_spent.pop(daemon, None)
+            is_first = daemon not in meter.reported_spent
+            if adopts or (is_first and update.is_synced):
                 # What it let through before this daemon heard of it is in its level.
-                meter.take_lower_level(daemon, count)
+                meter.adopt_lower_level(daemon, count)
             else:
-                meter.take_mate_count(daemon, count)
-        mates.is_synced = mates.is_synced or (mates.is_entry and adopts)
+                meter.add_peer_count(daemon, count)
+        peers.is_synced = peers.is_synced or (peers.is_entry and adopts)
 
-    def _known(self, news: QuotaNews) -> Iterator[tuple[QuotaMeter, QuotaCount]]:
-        for customer, count in news.counts.items():
+    def _known(self, update: QuotaUpdate) -> Iterator[tuple[QuotaMeter, QuotaCount]]:
+        for customer, count in update.counts.items():
             meter = self._meters.get(customer)
             if meter is not None:
                 yield meter, count
@@ -229,8 +237,8 @@
         meter = self._meters.get(customer)
         if meter is None:
             return None
-        if now_seconds - self._looked_seconds > TELL_SECONDS:
-            self._look(now_seconds)
+        if now_seconds - self._refreshed_seconds > UPDATE_INTERVAL_SECONDS:
+            self._refresh_peers(now_seconds)
         meter.catch_up(now_seconds)
         if meter.wait_seconds() > 0.0:
             return meter.refuse(units)
@@ -248,7 +256,7 @@
         meter = self._meters.get(customer)
         return None if meter is None else meter.fleet.level
 
-    def give_back(self, customer: CustomerId, units: float, now_seconds: float) -> None:
+    def refund(self, customer: CustomerId, units: float, now_seconds: float) -> None:
         """Return the units of a request that was let through and never ran."""
         meter = self._meters.get(customer)
         if meter is None:
@@ -258,12 +266,12 @@
 
     def _spend(self, meter: QuotaMeter, units: float, now_seconds: float) -> None:
         silent_seconds = now_seconds - self._spent_seconds
-        if self._mates.is_alone and silent_seconds > LINGER_SECONDS:
-            self._count_anew()
+        if self._peers.needs_relay and silent_seconds > LINGER_SECONDS:
+            self._restart_counts()
         meter.spend(units)
         self._spent_seconds = now_seconds
 
-    def _count_anew(self) -> None:
+    def _restart_counts(self) -> None:
         """Begin new counts, where others may have forgotten the ones before."""
         self._start += 1
         for meter in self._meters.values():
@@ -274,7 +282,7 @@
         self._catch_up(now_seconds)
         return {
             "share": round(self.share, 3),
-            "is_synced": self._mates.is_synced,
+            "is_synced": self._peers.is_synced,
             "customers": {
                 customer: meter.status() for customer, meter in self._meters.items()
             },
@@ -284,12 +292,12 @@
         for meter in self._meters.values():
             meter.catch_up(now_seconds)
 
-    def _look(self, now_seconds: float) -> None:
+    def _refresh_peers(self, now_seconds: float) -> None:
         """Follow which mates are heard of."""
-        self._looked_seconds = now_seconds
-        for daemon in self._mates.forget(now_seconds):
+        self._refreshed_seconds = now_seconds
+        for daemon in self._peers.forget(now_seconds):
             self._forget_counts(daemon)
-        share = self._mates.find_share(now_seconds)
+        share = self._peers.find_share(now_seconds)
         if share == self.share:
             return
         self.n_share_changes += 1
@@ -300,4 +308,4 @@
 
     def _forget_counts(self, daemon: DaemonId) -> None:
         for meter in self._meters.values():
-            meter.told.pop(daemon, None)
+            meter.reported_spent.pop(daemon, None)
--- a/lycheepost/decide/group.py
+++ b/lycheepost/decide/group.py
@@ -204,7 +204,9 @@
         over their share and it is not, so it need not spare the fleet.
         """
         halfway = (waiting.enqueued_seconds + waiting.give_up_seconds) / 2
-        return now_seconds > halfway and self.shares.is_inside(waiting.work.customer)
+        return now_seconds > halfway and self.shares.is_within_share(
+            waiting.work.customer
+        )
 
     def _bind(self, waiting: Waiting, choice: Choice) -> None:
         """Note for which target a request waits."""
@@ -231,7 +233,7 @@
             # A target failed it, not the load: it has its caller's whole time.
             elapsed = now_seconds - work.arrived_seconds
             return max(0.0, work.patience_seconds - elapsed) / GIVE_UP_SLACK
-        if self.shares.is_inside(work.customer):
+        if self.shares.is_within_share(work.customer):
             return work.patience_seconds * INSIDE_PATIENCE_SHARE
         budget = budget_seconds(work, self._settings)
         if _is_warm(work, choice) or self._lead_seconds(work) < COLD_LEAD:
@@ -335,7 +337,9 @@
         ahead_of = Ahead()
         if self.late.is_due():
             outcomes += self._pump_late(1, now_seconds, ahead_of)
-        for waiting in self.queue.in_order(SCANNED_REQUESTS, self.shares.is_inside):
+        for waiting in self.queue.in_order(
+            SCANNED_REQUESTS, self.shares.is_within_share
+        ):
             outcome = self._try_waiting(waiting, now_seconds, ahead_of)
             if outcome is not None:
                 outcomes.append(outcome)
@@ -433,7 +437,7 @@
 
     def tick(self, now_seconds: float) -> list[Outcome]:
         """Refuse what cannot be served any more; send out what has room."""
-        self.paces.renew_unused(now_seconds)
+        self.paces.redraw_expired(now_seconds)
         self._rate.update(now_seconds, self.n_waiting > 0)
         self._usual_rate.update(now_seconds, self.n_waiting > 0)
         self.shares.divide(self._usual_rate.per_second(), now_seconds)
--- a/lycheepost/decide/leaving.py
+++ b/lycheepost/decide/leaving.py
@@ -12,7 +12,7 @@
 from lycheepost.core.ids import TargetId
 from lycheepost.core.starts import TargetStart
 
-MOST_TARGETS = 20_000
+MAX_TARGETS = 20_000
 """Targets that are remembered, as many as ``state.targetstarts`` does."""
 
 
@@ -27,7 +27,7 @@
         if self.is_leaving(start):
             return False
         self._starts[start.target] = start
-        while len(self._starts) > MOST_TARGETS:
+        while len(self._starts) > MAX_TARGETS:
             self._starts.popitem(last=False)
         return True
 
--- a/lycheepost/decide/load.py
+++ b/lycheepost/decide/load.py
@@ -15,7 +15,7 @@
 from lycheepost.decide.concurrency import Window
 from lycheepost.decide.rates import Rates
 from lycheepost.decide.records import LoadReport, TargetView, Work
-from lycheepost.decide.sendpace import SendPace
+from lycheepost.decide.requestpacer import RequestPacer
 from lycheepost.decide.slow import Slowness
 
 HISTORY_SECONDS = 5.0
@@ -90,7 +90,7 @@
     reported_seconds: float = float("-inf")
     slowness: Slowness = field(default_factory=Slowness)
     is_shared: bool = False
-    pace: SendPace | None = None
+    pace: RequestPacer | None = None
     backoff_until_seconds: float = float("-inf")
     history: deque[OwnLoad] = field(default_factory=deque)
 
--- a/lycheepost/decide/notices.py
+++ b/lycheepost/decide/notices.py
@@ -20,21 +20,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class IsLeaving:
+class TargetLeaving:
     """A start of a target is leaving."""
 
     start: TargetStart
 
 
 @dataclass(frozen=True, slots=True)
-class BackOffAsked:
+class BackOffRequested:
     """A target wants no request from this daemon until then."""
 
     target: TargetId
     until_seconds: float
 
 
-NoticeChange = LimitChanged | IsLeaving | BackOffAsked
+NoticeChange = LimitChanged | TargetLeaving | BackOffRequested
 
 
 class TargetNotices:
@@ -79,15 +79,15 @@
             target, per_second, sent_seconds, now_seconds
         ):
             changes.append(LimitChanged(target, per_second))
-        is_vouched_for = is_sealed or was_not_run
-        if notice.is_leaving and is_vouched_for and self.leaving.note(start):
-            changes.append(IsLeaving(start))
+        is_trusted = is_sealed or was_not_run
+        if notice.is_leaving and is_trusted and self.leaving.note(start):
+            changes.append(TargetLeaving(start))
         for_seconds = notice.retry_after_seconds
         if for_seconds is not None and self.backoffs.note(
             target, for_seconds, now_seconds
         ):
             until_seconds = self.backoffs.until_seconds(target)
-            changes.append(BackOffAsked(target, until_seconds))
+            changes.append(BackOffRequested(target, until_seconds))
         return changes
 
     def keep(self, targets: Collection[TargetId], now_seconds: float) -> None:
--- a/lycheepost/decide/paces.py
+++ b/lycheepost/decide/paces.py
@@ -5,7 +5,7 @@
 
 from lycheepost.core.ids import TargetId
 from lycheepost.decide.load import TargetLoad
-from lycheepost.decide.sendpace import SendPace, make_send_pace
+from lycheepost.decide.requestpacer import RequestPacer, make_request_pacer
 
 
 class TargetPaces:
@@ -21,7 +21,7 @@
     ) -> None:
         self._loads = loads
         self._rng = rng
-        self._paces: dict[TargetId, SendPace] = {}
+        self._paces: dict[TargetId, RequestPacer] = {}
 
     def set_limit(
         self,
@@ -43,7 +43,9 @@
             load.pace = None
             self.forget(target)
         elif load.pace is None:
-            load.pace = make_send_pace(per_second, n_daemons, now_seconds, self._rng)
+            load.pace = make_request_pacer(
+                per_second, n_daemons, now_seconds, self._rng
+            )
             self._paces[target] = load.pace
         else:
             load.pace.change(per_second, n_daemons, now_seconds)
@@ -56,7 +58,7 @@
         """Forget the pace of a target that has no limit, or has left the group."""
         self._paces.pop(target, None)
 
-    def renew_unused(self, now_seconds: float) -> None:
+    def redraw_expired(self, now_seconds: float) -> None:
         """Draw new moments where the last ones were left unused for too long."""
         for pace in self._paces.values():
-            pace.renew_unused(now_seconds, self._rng)
+            pace.redraw_expired(now_seconds, self._rng)
--- a/lycheepost/decide/peerloads.py
+++ b/lycheepost/decide/peerloads.py
@@ -11,13 +11,13 @@
 
 from lycheepost.core.ids import DaemonId, TargetGroupId, TargetId
 
-FRESH_SECONDS = 1.0
+MAX_AGE_SECONDS = 1.0
 """A daemon that was silent for longer has most likely died, and its requests with
 it; what its targets still run shows in their own reports."""
 
 
 @dataclass(frozen=True, slots=True)
-class UnderWay:
+class DaemonLoad:
     """What one daemon has at one target.
 
     Attributes:
@@ -29,26 +29,26 @@
     n_running: int
 
 
-NOTHING = UnderWay(0, 0)
+NO_LOAD = DaemonLoad(0, 0)
 
 
 def find_changes(
-    before: Mapping[TargetId, UnderWay], now: Mapping[TargetId, UnderWay]
-) -> dict[TargetId, UnderWay]:
-    """Return what differs from what was told before; ``NOTHING`` where all has ended.
+    before: Mapping[TargetId, DaemonLoad], now: Mapping[TargetId, DaemonLoad]
+) -> dict[TargetId, DaemonLoad]:
+    """Return what differs from what was told before; ``NO_LOAD`` where all has ended.
 
     The load: word of every request goes to each peer within milliseconds. Most of it
     would repeat what the peers know, and it crosses availability zones.
     """
     names = before.keys() | now.keys()
     changed = {name for name in names if before.get(name) != now.get(name)}
-    return {name: now.get(name, NOTHING) for name in sorted(changed)}
+    return {name: now.get(name, NO_LOAD) for name in sorted(changed)}
 
 
 @dataclass(slots=True)
-class _Told:
-    at_seconds: float
-    loads: Mapping[TargetId, UnderWay]
+class _Report:
+    received_seconds: float
+    loads: Mapping[TargetId, DaemonLoad]
     waiting_groups: frozenset[TargetGroupId] = frozenset()
 
 
@@ -56,65 +56,67 @@
 class PeerLoads:
     """The last word of each daemon."""
 
-    _told: dict[DaemonId, _Told] = field(default_factory=dict)
+    _reports: dict[DaemonId, _Report] = field(default_factory=dict)
 
     def observe(
-        self, daemon: DaemonId, loads: Mapping[TargetId, UnderWay], now_seconds: float
+        self, daemon: DaemonId, loads: Mapping[TargetId, DaemonLoad], now_seconds: float
     ) -> None:
         """Take what a daemon has under way; it replaces what it told before."""
-        self._told[daemon] = _Told(now_seconds, loads)
+        self._reports[daemon] = _Report(now_seconds, loads)
 
     def note_waiting(self, daemon: DaemonId, groups: Iterable[TargetGroupId]) -> None:
         """Take which groups a daemon has requests waiting for."""
-        told = self._told.get(daemon)
-        if told is not None:
-            told.waiting_groups = frozenset(groups)
+        report = self._reports.get(daemon)
+        if report is not None:
+            report.waiting_groups = frozenset(groups)
 
     def n_waiting(self, group: TargetGroupId, now_seconds: float) -> int:
         """Return how many daemons have requests waiting for a group."""
-        self._forget_silent(now_seconds)
-        return sum(group in told.waiting_groups for told in self._told.values())
+        self._drop_expired(now_seconds)
+        return sum(group in report.waiting_groups for report in self._reports.values())
 
     def observe_changes(
-        self, daemon: DaemonId, loads: Mapping[TargetId, UnderWay], now_seconds: float
+        self, daemon: DaemonId, loads: Mapping[TargetId, DaemonLoad], now_seconds: float
     ) -> None:
         """Take what changed since a daemon last told; unknown without that."""
-        self._forget_silent(now_seconds)
-        told = self._told.get(daemon)
-        if told is not None:
-            self._told[daemon] = _Told(now_seconds, {**told.loads, **loads})
+        self._drop_expired(now_seconds)
+        report = self._reports.get(daemon)
+        if report is not None:
+            self._reports[daemon] = _Report(now_seconds, {**report.loads, **loads})
 
     def is_known(self, now_seconds: float) -> bool:
         """Tell whether any peer has told its load of late."""
-        self._forget_silent(now_seconds)
-        return bool(self._told)
+        self._drop_expired(now_seconds)
+        return bool(self._reports)
 
-    def at(self, target: TargetId, now_seconds: float) -> UnderWay:
+    def at(self, target: TargetId, now_seconds: float) -> DaemonLoad:
         """Return what all peers together have at a target."""
-        self._forget_silent(now_seconds)
+        self._drop_expired(now_seconds)
         found = [
-            told.loads[target] for told in self._told.values() if target in told.loads
+            report.loads[target]
+            for report in self._reports.values()
+            if target in report.loads
         ]
-        return UnderWay(
+        return DaemonLoad(
             sum(load.queued_tokens for load in found),
             sum(load.n_running for load in found),
         )
 
-    def totals(self, now_seconds: float) -> dict[TargetId, UnderWay]:
+    def totals(self, now_seconds: float) -> dict[TargetId, DaemonLoad]:
         """Return the same of all targets at which any peer has something."""
-        self._forget_silent(now_seconds)
+        self._drop_expired(now_seconds)
         tokens: dict[TargetId, int] = {}
         running: dict[TargetId, int] = {}
-        for told in self._told.values():
-            for target, load in told.loads.items():
+        for report in self._reports.values():
+            for target, load in report.loads.items():
                 tokens[target] = tokens.get(target, 0) + load.queued_tokens
                 running[target] = running.get(target, 0) + load.n_running
         return {
-            target: UnderWay(n_tokens, running[target])
+            target: DaemonLoad(n_tokens, running[target])
             for target, n_tokens in tokens.items()
         }
 
-    def _forget_silent(self, now_seconds: float) -> None:
-        for daemon, told in list(self._told.items()):
-            if now_seconds - told.at_seconds > FRESH_SECONDS:
-                del self._told[daemon]
+    def _drop_expired(self, now_seconds: float) -> None:
+        for daemon, report in list(self._reports.items()):
+            if now_seconds - report.received_seconds > MAX_AGE_SECONDS:
+                del self._reports[daemon]
--- a/lycheepost/decide/quarantine.py
+++ b/lycheepost/decide/quarantine.py
@@ -16,10 +16,10 @@
 """Bounds memory when whole availability zones fail: the oldest are dropped."""
 
 
-TOGETHER_SECONDS = 3.0
+RECENT_LOSS_SECONDS = 3.0
 """Fingerprints whose losses are no older are tried again at about the same time."""
 
-MOST_TOGETHER = 64
+MAX_RECENT_LOSSES = 64
 """Fingerprints that are put in order: what one target runs. Where more are lost, the
 newest are."""
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LossSeen:
+class LossReport:
     """A fingerprint was running on a target that was lost; for peers.
 
     Attributes:
@@ -100,7 +100,7 @@
         fingerprint: BodyFingerprint,
         started_seconds: float,
         lost_seconds: float,
-    ) -> LossSeen | None:
+    ) -> LossReport | None:
         """Count a loss, seen here or told by a peer.
 
         A run that was sent before the last counted loss tells nothing new: many
@@ -130,17 +130,17 @@
         is_quarantined = count >= self._losses
         if is_quarantined:
             self.add(fingerprint, until_seconds)
-        return LossSeen(
+        return LossReport(
             fingerprint, started_seconds, lost_seconds, until_seconds, is_quarantined
         )
 
     def _note_lost(self, fingerprint: BodyFingerprint, lost_seconds: float) -> None:
         self._lost_seconds.pop(fingerprint, None)
         self._lost_seconds[fingerprint] = lost_seconds
-        while len(self._lost_seconds) > MOST_TOGETHER:
+        while len(self._lost_seconds) > MAX_RECENT_LOSSES:
             del self._lost_seconds[next(iter(self._lost_seconds))]
 
-    def place_of(self, fingerprint: BodyFingerprint, now_seconds: float) -> int | None:
+    def rank_of(self, fingerprint: BodyFingerprint, now_seconds: float) -> int | None:
         """Return the place of a suspect among those that were lost lately.
 
         Daemons that have heard of the same losses give the same places, whoever of the
@@ -149,15 +149,15 @@
         Returns:
             Its place, from 0 on; None where no other was lost lately.
         """
-        oldest_seconds = now_seconds - TOGETHER_SECONDS
-        lately = sorted(
+        oldest_seconds = now_seconds - RECENT_LOSS_SECONDS
+        recent = sorted(
             name
             for name, at_seconds in self._lost_seconds.items()
             if at_seconds >= oldest_seconds
         )
-        if len(lately) < 2 or fingerprint not in lately:
+        if len(recent) < 2 or fingerprint not in recent:
             return None
-        return lately.index(fingerprint)
+        return recent.index(fingerprint)
 
     def clear(self, fingerprint: BodyFingerprint) -> None:
         """Acquit a suspect that ran to its end."""
--- a/lycheepost/decide/quotameter.py
+++ b/lycheepost/decide/quotameter.py
@@ -12,16 +12,16 @@
 from lycheepost.core.quotas import Quota, QuotaTolerance
 from lycheepost.decide.tokenbucket import TokenBucket
 
-EXTRA_SHARE = 0.2
+USED_TOLERANCE_SHARE = 0.2
 """Part of what is tolerated beyond a quota that is let through. It covers requests that
 were counted here and did not run, and what daemons count twice or late, so that nobody
 is refused below the quota."""
 
-START_SHARE = 0.4
+START_TOLERANCE_SHARE = 0.4
 """The same for what a bucket holds at the start of a daemon that nobody tells how much
 is left. When all daemons have lost power, none of them knows what was spent before."""
 
-MOST_WAIT_SECONDS = 10.0
+MAX_WAIT_SECONDS = 10.0
 """A caller that is told to come back later than this has gone elsewhere."""
 
 
@@ -60,7 +60,7 @@
         reachable: What is left for the daemons that hear each other, while some are
             missing; None while none is.
         spent: Units let through here since the start.
-        told: The count of units that each daemon has told.
+        reported_spent: The count of units that each daemon has told.
         n_refused: Requests refused here.
         is_changed: Something was let through since the mates were told.
     """
@@ -70,11 +70,11 @@
     fleet: TokenBucket
     reachable: TokenBucket | None = None
     spent: float = 0.0
-    told: dict[DaemonId, float] = field(default_factory=dict)
+    reported_spent: dict[DaemonId, float] = field(default_factory=dict)
     n_refused: int = 0
     is_changed: bool = False
     _lower: _Lower | None = None
-    _apart_spent: float = 0.0
+    _partition_spent: float = 0.0
     """By those who hear each other, since they are fewer than all."""
     _promised: float = 0.0
     _promised_seconds: float = 0.0
@@ -133,11 +133,11 @@
         """Let the daemons that hear each other spend their part of what is left."""
         if share >= 1.0:
             self.reachable = None
-            self._apart_spent = 0.0
+            self._partition_spent = 0.0
             return
         fleet = self.fleet
-        before = max(0.0, fleet.level + self._apart_spent)
-        left = share * before - self._apart_spent
+        before = max(0.0, fleet.level + self._partition_spent)
+        left = share * before - self._partition_spent
         self.reachable = TokenBucket(
             share * fleet.rate_per_second,
             share * fleet.capacity,
@@ -162,7 +162,7 @@
         self.fleet.add(units)
         if self.reachable is not None:
             self.reachable.add(units)
-            self._apart_spent -= units
+            self._partition_spent -= units
 
     def refuse(self, units: float) -> float:
         """Count a refused request; return after how many seconds it may come back.
@@ -177,32 +177,32 @@
         elapsed_seconds = now_seconds - self._promised_seconds
         self._promised_seconds = now_seconds
         promised = max(0.0, self._promised - rate_per_second * elapsed_seconds)
-        most_units = MOST_WAIT_SECONDS * rate_per_second
-        self._promised = min(most_units, promised + units)
+        max_units = MAX_WAIT_SECONDS * rate_per_second
+        self._promised = min(max_units, promised + units)
         wait_seconds = self.wait_seconds() + promised / rate_per_second
-        return min(MOST_WAIT_SECONDS, wait_seconds)
+        return min(MAX_WAIT_SECONDS, wait_seconds)
 
-    def note_spent(self, daemon: DaemonId, spent: float) -> float:
+    def update_reported_spent(self, daemon: DaemonId, spent: float) -> float:
         """Take the count of a daemon; return by how much it has risen."""
-        before = self.told.get(daemon, 0.0)
-        self.told[daemon] = spent
+        before = self.reported_spent.get(daemon, 0.0)
+        self.reported_spent[daemon] = spent
         return spent - before
 
-    def take_mate_count(self, daemon: DaemonId, count: QuotaCount) -> None:
+    def add_peer_count(self, daemon: DaemonId, count: QuotaCount) -> None:
         """Count what a mate let through since it last spoke.
 
         Its level isn't followed. A busy daemon hears late of what was spent, so that
         its level is always too high, and each message of it would raise the others
         again.
         """
-        self._add(-self.note_spent(daemon, count.spent))
+        self._add(-self.update_reported_spent(daemon, count.spent))
 
-    def take_lower_level(self, daemon: DaemonId, count: QuotaCount) -> None:
+    def adopt_lower_level(self, daemon: DaemonId, count: QuotaCount) -> None:
         """Take the level of a daemon that knows more, if it is the lower one."""
-        self.told[daemon] = count.spent
+        self.reported_spent[daemon] = count.spent
         self._add(min(0.0, count.level - self.fleet.level))
 
-    def take_level(self, count: QuotaCount) -> None:
+    def adopt_level(self, count: QuotaCount) -> None:
         """Take the level of a daemon that has counted all that was spent here."""
         self.fleet.level = min(self.fleet.capacity, count.level)
 
@@ -234,21 +234,21 @@
         age_seconds: Since the start of this daemon.
         now_seconds: The present time.
     """
-    spare = START_SHARE * tolerance.of(quota)
+    start_units = START_TOLERANCE_SHARE * tolerance.of(quota)
     rate, capacity = find_terms(quota, tolerance)
-    level = min(capacity, min(quota.burst, spare) + rate * age_seconds)
+    level = min(capacity, min(quota.burst, start_units) + rate * age_seconds)
     fleet = TokenBucket(rate, capacity, level, now_seconds)
     meter = QuotaMeter(quota, tolerance, fleet, _promised_seconds=now_seconds)
     if share < 1.0:
-        left = share * min(capacity, max(level, spare))
+        left = share * min(capacity, max(level, start_units))
         meter.reachable = TokenBucket(share * rate, share * capacity, left, now_seconds)
     return meter
 
 
 def find_terms(quota: Quota, tolerance: QuotaTolerance) -> tuple[float, float]:
     """Return the rate and the capacity of a quota's bucket."""
-    more = 1.0 + EXTRA_SHARE * tolerance.share
-    capacity = more * quota.burst + EXTRA_SHARE * tolerance.units
+    more = 1.0 + USED_TOLERANCE_SHARE * tolerance.share
+    capacity = more * quota.burst + USED_TOLERANCE_SHARE * tolerance.units
     return more * quota.rate_per_second, capacity
 
 
--- a/lycheepost/decide/randomadmission.py
+++ b/lycheepost/decide/randomadmission.py
@@ -32,11 +32,11 @@
         self._rng = rng
         self._left: dict[TargetId, int] | None = None
 
-    def draw(self, places: Mapping[TargetId, float], n_daemons: int) -> None:
+    def draw(self, free_slots: Mapping[TargetId, float], n_daemons: int) -> None:
         """Draw this daemon's part of the room that there is now.
 
         Args:
-            places: Requests that each target has room for.
+            free_slots: Requests that each target has room for.
             n_daemons: Daemons with waiting requests, this one among them. One alone
                 takes all the room that it sees.
         """
@@ -44,7 +44,7 @@
             self._left = None
             return
         self._left = {
-            target: self._share(free / n_daemons) for target, free in places.items()
+            target: self._share(free / n_daemons) for target, free in free_slots.items()
         }
 
     def _share(self, expected: float) -> int:
--- a/lycheepost/decide/ratelimits.py
+++ b/lycheepost/decide/ratelimits.py
@@ -10,49 +10,49 @@
 
 from lycheepost.core.ids import TargetId
 
-TELL_END_SECONDS = 5.0
+REPORT_END_SECONDS = 5.0
 """How long peers are told that a limit has ended. One that misses it hears it with its
 own next answer."""
 
 
 @dataclass(frozen=True, slots=True)
-class SaidLimit:
+class ReportedLimit:
     """What a target said of its limit.
 
     Attributes:
         per_second: Requests a second from all daemons; None once it names no limit.
-        said_seconds: When it said so, on the clock of this daemon.
+        reported_seconds: When it said so, on the clock of this daemon.
         is_own: It said so to this daemon.
     """
 
     per_second: float | None
-    said_seconds: float
+    reported_seconds: float
     is_own: bool = True
 
 
-def _is_old_end(said: SaidLimit, now_seconds: float) -> bool:
-    is_ended = said.per_second is None
-    return is_ended and now_seconds - said.said_seconds > TELL_END_SECONDS
+def _is_expired_end(reported: ReportedLimit, now_seconds: float) -> bool:
+    is_ended = reported.per_second is None
+    return is_ended and now_seconds - reported.reported_seconds > REPORT_END_SECONDS
 
 
 class TargetLimits:
     """The last word of each target that has named a limit."""
 
     def __init__(self) -> None:
-        self._said: dict[TargetId, SaidLimit] = {}
+        self._reported: dict[TargetId, ReportedLimit] = {}
 
     def in_force(self) -> dict[TargetId, float]:
         """Return the limits of all targets that name one, in requests a second."""
         return {
-            target: said.per_second
-            for target, said in self._said.items()
-            if said.per_second is not None
+            target: reported.per_second
+            for target, reported in self._reported.items()
+            if reported.per_second is not None
         }
 
     def of(self, target: TargetId) -> float | None:
         """Return the limit of a target in requests a second; None for no limit."""
-        said = self._said.get(target)
-        return None if said is None else said.per_second
+        reported = self._reported.get(target)
+        return None if reported is None else reported.per_second
 
     def note_answer(
         self,
@@ -75,38 +75,38 @@
         Returns:
             Whether the limit has changed.
         """
-        before = self._said.get(target)
+        before = self._reported.get(target)
         if per_second is None and (
             before is None
             or before.per_second is None
-            or sent_seconds < before.said_seconds
+            or sent_seconds < before.reported_seconds
         ):
             return False
-        self._said[target] = SaidLimit(per_second, now_seconds)
+        self._reported[target] = ReportedLimit(per_second, now_seconds)
         return before is None or before.per_second != per_second
 
-    def note_told(self, target: TargetId, said: SaidLimit) -> bool:
+    def note_peer_report(self, target: TargetId, reported: ReportedLimit) -> bool:
         """Take what a peer heard; return whether the limit has changed."""
-        before = self._said.get(target)
-        if before is None and said.per_second is None:
+        before = self._reported.get(target)
+        if before is None and reported.per_second is None:
             return False
-        if before is not None and said.said_seconds <= before.said_seconds:
+        if before is not None and reported.reported_seconds <= before.reported_seconds:
             return False
-        self._said[target] = replace(said, is_own=False)
-        return before is None or before.per_second != said.per_second
+        self._reported[target] = replace(reported, is_own=False)
+        return before is None or before.per_second != reported.per_second
 
-    def own(self, now_seconds: float) -> dict[TargetId, SaidLimit]:
+    def own(self, now_seconds: float) -> dict[TargetId, ReportedLimit]:
         """Return what targets said to this daemon, for the peers.
 
         What a peer told isn't told on, and the end of a limit only for a while.
         """
         return {
-            target: said
-            for target, said in self._said.items()
-            if said.is_own and not _is_old_end(said, now_seconds)
+            target: reported
+            for target, reported in self._reported.items()
+            if reported.is_own and not _is_expired_end(reported, now_seconds)
         }
 
     def keep(self, targets: Collection[TargetId]) -> None:
         """Forget targets that are not among these."""
-        for target in self._said.keys() - set(targets):
-            del self._said[target]
+        for target in self._reported.keys() - set(targets):
+            del self._reported[target]
--- a/lycheepost/decide/rates.py
+++ b/lycheepost/decide/rates.py
@@ -8,16 +8,16 @@
 
 from lycheepost.decide.settings import SchedulerSettings
 
-GAIN = 0.05
+SMOOTHING_WEIGHT = 0.05
 """Weight of one observation; some twenty settle a figure."""
 
 MAX_RATIO = 4.0
 """One hanging target must not make slowness the usual."""
 
-SMALL_TOKENS = 300
+MAX_FIXED_COST_TOKENS = 300
 """Below this the fixed part of a first token is nearly all of it."""
 
-LARGE_TOKENS = 800
+MIN_TOKEN_COST_TOKENS = 800
 """Above this the time per token can be told from the fixed part."""
 
 
@@ -48,25 +48,27 @@
             n_tokens: Uncached tokens of it and of those ahead of it.
         """
         predicted = self.first_token_seconds + n_tokens * self.token_seconds
-        if n_tokens < SMALL_TOKENS:
-            self.first_token_seconds += GAIN * (
+        if n_tokens < MAX_FIXED_COST_TOKENS:
+            self.first_token_seconds += SMOOTHING_WEIGHT * (
                 elapsed_seconds - self.first_token_seconds
             )
-        elif n_tokens > LARGE_TOKENS:
+        elif n_tokens > MIN_TOKEN_COST_TOKENS:
             seconds = max(0.0, elapsed_seconds - self.first_token_seconds) / n_tokens
-            self.token_seconds += GAIN * (seconds - self.token_seconds)
+            self.token_seconds += SMOOTHING_WEIGHT * (seconds - self.token_seconds)
         ratio = elapsed_seconds / max(predicted, 1e-3)
-        self.usual_ratio += GAIN * (min(ratio, MAX_RATIO) - self.usual_ratio)
+        self.usual_ratio += SMOOTHING_WEIGHT * (
+            min(ratio, MAX_RATIO) - self.usual_ratio
+        )
         return ratio
 
     def observe_hold(self, held_seconds: float) -> None:
         """Learn how long a request occupied its slot."""
-        self.hold_seconds += GAIN * (held_seconds - self.hold_seconds)
+        self.hold_seconds += SMOOTHING_WEIGHT * (held_seconds - self.hold_seconds)
 
     def observe_uncached(self, uncached_tokens: int, prompt_tokens: int) -> None:
         """Learn how much of a prompt had to be computed."""
         share = uncached_tokens / max(1, prompt_tokens)
-        self.uncached_share += GAIN * (share - self.uncached_share)
+        self.uncached_share += SMOOTHING_WEIGHT * (share - self.uncached_share)
 
 
 def make_rates(settings: SchedulerSettings) -> Rates:
--- a/lycheepost/decide/sendpace.py
+++ b/lycheepost/decide/requestpacer.py
@@ -10,19 +10,19 @@
 import random
 from dataclasses import dataclass
 
-LEAST_PER_SECOND = 0.2
+MIN_RATE_PER_SECOND = 0.2
 """A limit below this counts as this: only an answer tells that it has ended."""
 
-RELIEF_SECONDS = 2.0
+INITIAL_PAUSE_SECONDS = 2.0
 """Pause once a target begins to name a limit. What it got in the seconds before, from
 daemons that had not heard it, is mostly beyond the limit already."""
 
-UNUSED_SECONDS = 2.0
+SLOT_EXPIRY_SECONDS = 2.0
 """How long a moment that was left unused holds."""
 
 
 @dataclass(slots=True)
-class SendPace:
+class RequestPacer:
     """The moments at which one daemon may send to one target.
 
     Attributes:
@@ -38,7 +38,7 @@
     @property
     def interval_seconds(self) -> float:
         """Return the time between two requests of this daemon."""
-        return self.n_daemons / max(LEAST_PER_SECOND, self.per_second)
+        return self.n_daemons / max(MIN_RATE_PER_SECOND, self.per_second)
 
     def wait_seconds(self, now_seconds: float, n_ahead: int = 0) -> float:
         """Return the time until a request may go behind ``n_ahead`` others."""
@@ -58,22 +58,22 @@
         scale = self.interval_seconds / before_seconds
         self.next_seconds = now_seconds + wait_seconds * scale
 
-    def renew_unused(self, now_seconds: float, rng: random.Random) -> None:
+    def redraw_expired(self, now_seconds: float, rng: random.Random) -> None:
         """Draw a new moment where the last one was left unused for too long.
 
         The load: a quiet minute, then many requests at once. Every daemon would have a
         request to send, and all of them would send it at the same moment.
         """
-        if now_seconds - self.next_seconds > UNUSED_SECONDS:
+        if now_seconds - self.next_seconds > SLOT_EXPIRY_SECONDS:
             self.next_seconds = now_seconds + rng.random() * self.interval_seconds
 
 
-def make_send_pace(
+def make_request_pacer(
     per_second: float,
     n_daemons: int,
     now_seconds: float,
     rng: random.Random,
-) -> SendPace:
+) -> RequestPacer:
     """Return the pace at a target that has just named a limit.
 
     Args:
@@ -82,6 +82,6 @@
         now_seconds: The present time.
         rng: Draws the first moment.
     """
-    pace = SendPace(per_second, n_daemons, now_seconds + RELIEF_SECONDS)
-    pace.next_seconds += rng.random() * pace.interval_seconds
-    return pace
+    pacer = RequestPacer(per_second, n_daemons, now_seconds + INITIAL_PAUSE_SECONDS)
+    pacer.next_seconds += rng.random() * pacer.interval_seconds
+    return pacer
--- a/lycheepost/decide/retry.py
+++ b/lycheepost/decide/retry.py
@@ -81,7 +81,7 @@
         """Follow a change of what is allowed, or of this daemon's part of it."""
         self._terms = terms
 
-    def earn(self, now_seconds: float) -> None:
+    def note_first_attempt(self, now_seconds: float) -> None:
         """Count a first try."""
         self._slot(now_seconds).n_requests += 1
 
--- a/lycheepost/decide/scheduler.py
+++ b/lycheepost/decide/scheduler.py
@@ -19,9 +19,9 @@
 from lycheepost.decide.belief import CacheBelief
 from lycheepost.decide.group import Group
 from lycheepost.decide.load import TargetLoad
-from lycheepost.decide.peerloads import UnderWay
-from lycheepost.decide.quarantine import LossSeen, Quarantine
-from lycheepost.decide.quotamates import UNKNOWN_DAEMONS
+from lycheepost.decide.peerloads import DaemonLoad
+from lycheepost.decide.quarantine import LossReport, Quarantine
+from lycheepost.decide.quotapeers import ASSUMED_DAEMONS
 from lycheepost.decide.records import (
     FinishKind,
     LoadReport,
@@ -62,8 +62,8 @@
         self._budgets: dict[TargetGroupId, RetryBudget] = {}
         self._limits: dict[TargetId, float] = {}
         self._backoffs: dict[TargetId, float] = {}
-        self._n_sharing_limits = UNKNOWN_DAEMONS
-        self._losses: list[LossSeen] = []
+        self._n_sharing_limits = ASSUMED_DAEMONS
+        self._losses: list[LossReport] = []
         self._is_draining = False
         self._now_seconds = 0.0
 
@@ -130,7 +130,7 @@
         refusal = self._refuse_early(work, now_seconds)
         if refusal is not None:
             return [refusal]
-        self._budget(work.target_group).earn(now_seconds)
+        self._budget(work.target_group).note_first_attempt(now_seconds)
         return self._admit(work, now_seconds)
 
     def _budget(self, target_group: TargetGroupId) -> RetryBudget:
@@ -323,7 +323,9 @@
         for target in self._limits:
             self._pass_limit(target, now_seconds)
 
-    def note_others(self, target: TargetId, load: UnderWay, now_seconds: float) -> None:
+    def note_others(
+        self, target: TargetId, load: DaemonLoad, now_seconds: float
+    ) -> None:
         """Take what the other daemons have under way at a target."""
         group = self._group_by_target.get(target)
         if group is not None:
@@ -356,14 +358,14 @@
             outcomes.extend(group.pump(now_seconds))
         return outcomes
 
-    def under_way(self) -> dict[TargetId, UnderWay]:
+    def under_way(self) -> dict[TargetId, DaemonLoad]:
         """Return what is under way from here, for the peers."""
-        found: dict[TargetId, UnderWay] = {}
+        found: dict[TargetId, DaemonLoad] = {}
         for target, group in self._group_by_target.items():
             load = group.placement.loads[target]
             if load.in_flight:
                 n_running = len(load.in_flight)
-                found[target] = UnderWay(load.queued_tokens, n_running)
+                found[target] = DaemonLoad(load.queued_tokens, n_running)
         return found
 
     def observe_cache_events(
@@ -405,7 +407,7 @@
         if group is not None:
             group.note_placed(placed)
 
-    def take_losses(self) -> list[LossSeen]:
+    def take_losses(self) -> list[LossReport]:
         """Return the losses seen since the last call, to tell the peers."""
         losses = self._losses
         self._losses = []
--- a/lycheepost/decide/settings.py
+++ b/lycheepost/decide/settings.py
@@ -28,7 +28,7 @@
         prefill_seconds_per_token: First guess, until measured.
         decode_seconds_per_token: Engine time that one output token takes.
         first_token_seconds: First guess of the fixed part of a first token.
-        admit_patience_share: Share of a caller's patience that the predicted
+        admit_wait_share: Share of a caller's patience that the predicted
             wait may take; the rest covers errors of the prediction.
         queue_seconds: Longest wait that a queue is allowed to build up.
         switched_off: Mechanisms that are not used.
@@ -46,7 +46,7 @@
     prefill_seconds_per_token: float = 50e-6
     decode_seconds_per_token: float = 0.7e-3
     first_token_seconds: float = 0.03
-    admit_patience_share: float = 0.4
+    admit_wait_share: float = 0.4
     queue_seconds: float = 20.0
     switched_off: frozenset[Mechanism] = frozenset()
 
--- a/lycheepost/decide/shares.py
+++ b/lycheepost/decide/shares.py
@@ -14,20 +14,20 @@
 
 from lycheepost.core.ids import CustomerId
 
-DEMAND_SECONDS = 8.0
+DEMAND_TIME_CONSTANT_SECONDS = 8.0
 """Time constant of the demand: a daemon sees a request or two a second of a
 small customer, and some ten make the estimate steady; longer ones let a large
 customer's surge pass as modest for as long."""
 
-DIVIDE_SECONDS = 0.25
+DIVISION_INTERVAL_SECONDS = 0.25
 """Time between two divisions; sorting 990 customers costs half a millisecond."""
 
-CHANCE_DEVIATIONS = 1.0
+DEVIATIONS_OVER_LEVEL = 1.0
 """Standard deviations by which a customer's demand must be over the level. A daemon
 of seven sees some ten requests of a small customer, and three more or less by chance,
 for which a modest customer is not to be refused."""
 
-FORGET_SHARE = 1e-3
+MIN_DEMAND_SECONDS = 1e-3
 """Customers whose demand has faded below this of a second are dropped."""
 
 
@@ -47,20 +47,20 @@
     def decay(self, now_seconds: float) -> None:
         elapsed = now_seconds - self.at_seconds
         if elapsed > 0:
-            share = math.exp(-elapsed / DEMAND_SECONDS)
+            share = math.exp(-elapsed / DEMAND_TIME_CONSTANT_SECONDS)
             self.cost_seconds *= share
             self.n_requests *= share
             self.at_seconds = now_seconds
 
-    def certain_cost_seconds(self) -> float:
+    def lower_bound_cost_seconds(self) -> float:
         """Return the engine time without what may be chance.
 
         Of ``n`` requests in a span the square root of ``n`` is their deviation.
         """
         if self.n_requests <= 0.0:
             return 0.0
-        chance = CHANCE_DEVIATIONS / math.sqrt(self.n_requests)
-        return self.cost_seconds * max(0.0, 1.0 - chance)
+        deviation = DEVIATIONS_OVER_LEVEL / math.sqrt(self.n_requests)
+        return self.cost_seconds * max(0.0, 1.0 - deviation)
 
 
 class FairShares:
@@ -90,18 +90,23 @@
 
     def divide(self, capacity: float, now_seconds: float) -> None:
         """Divide ``capacity`` (engine seconds a second) when it is due."""
-        if now_seconds - self._divided_seconds < DIVIDE_SECONDS:
+        if now_seconds - self._divided_seconds < DIVISION_INTERVAL_SECONDS:
             return
         self._divided_seconds = now_seconds
         for customer, demand in list(self._demands.items()):
             demand.decay(now_seconds)
-            if demand.cost_seconds < FORGET_SHARE:
+            if demand.cost_seconds < MIN_DEMAND_SECONDS:
                 del self._demands[customer]
         self._level = self._level_of(capacity)
 
     def _level_of(self, capacity: float) -> float:
         asked = sorted(
-            (demand.cost_seconds / DEMAND_SECONDS / self._weight(customer), customer)
+            (
+                demand.cost_seconds
+                / DEMAND_TIME_CONSTANT_SECONDS
+                / self._weight(customer),
+                customer,
+            )
             for customer, demand in self._demands.items()
         )
         weights = sum(self._weight(customer) for _, customer in asked)
@@ -113,11 +118,11 @@
             weights -= self._weight(customer)
         return math.inf
 
-    def is_inside(self, customer: CustomerId) -> bool:
+    def is_within_share(self, customer: CustomerId) -> bool:
         """Tell whether the customer asks for no more than its fair share."""
         demand = self._demands.get(customer)
         if demand is None:
             return True
-        cost_seconds = demand.certain_cost_seconds()
-        asked = cost_seconds / DEMAND_SECONDS / self._weight(customer)
+        cost_seconds = demand.lower_bound_cost_seconds()
+        asked = cost_seconds / DEMAND_TIME_CONSTANT_SECONDS / self._weight(customer)
         return asked <= self._level
--- a/lycheepost/decide/slow.py
+++ b/lycheepost/decide/slow.py
@@ -12,14 +12,14 @@
 
 from dataclasses import dataclass
 
-GAIN = 0.15
+SMOOTHING_WEIGHT = 0.15
 """Weight of one observation: a slow target is told within ten first tokens."""
 
 MIN_SLOWNESS = 0.5
 MAX_SLOWNESS = 20.0
 """One wild observation must not outweigh the twenty that follow."""
 
-FADE_SECONDS = 10.0
+DECAY_HALF_LIFE_SECONDS = 10.0
 """Half-life while unobserved. One probe per some tens of seconds risks one late
 first token in a thousand requests, and a recovered target is back in a minute."""
 
@@ -35,7 +35,7 @@
         """Learn from one first token."""
         ratio = min(MAX_SLOWNESS, max(MIN_SLOWNESS, ratio))
         value = self.now(now_seconds)
-        self.value = value + GAIN * (ratio - value)
+        self.value = value + SMOOTHING_WEIGHT * (ratio - value)
         self.observed_seconds = now_seconds
 
     def now(self, now_seconds: float) -> float:
@@ -44,4 +44,4 @@
         if value <= 1.0:
             return value
         elapsed = now_seconds - self.observed_seconds
-        return float(1.0 + (value - 1.0) * 0.5 ** (elapsed / FADE_SECONDS))
+        return float(1.0 + (value - 1.0) * 0.5 ** (elapsed / DECAY_HALF_LIFE_SECONDS))
--- a/lycheepost/decide/suspects.py
+++ b/lycheepost/decide/suspects.py
@@ -46,10 +46,10 @@
 
     def choose(self, work: Work, now_seconds: float, ahead_of: Ahead) -> Choice | None:
         """Return where to try a suspect; None where no target fits."""
-        alone = work.excluded | self._targets_with_suspects(now_seconds)
-        choice = self._choose_apart(work, now_seconds, alone, ahead_of)
+        avoided = work.excluded | self._targets_with_suspects(now_seconds)
+        choice = self._choose_assigned(work, now_seconds, avoided, ahead_of)
         if choice is None:
-            choice = self._placement.best(work, now_seconds, alone, ahead_of)
+            choice = self._placement.best(work, now_seconds, avoided, ahead_of)
         if choice is not None:
             return choice
         # A target that is lost with many requests makes them all suspects, more
@@ -58,7 +58,7 @@
         choice = self._placement.best(work, now_seconds, work.excluded, ahead_of)
         return None if choice is None else replace(choice, can_take=False)
 
-    def _choose_apart(
+    def _choose_assigned(
         self,
         work: Work,
         now_seconds: float,
@@ -74,12 +74,12 @@
         Returns:
             None where no other suspect may be tried now, or that target has no room.
         """
-        place = self._quarantine.place_of(work.fingerprint, now_seconds)
+        rank = self._quarantine.rank_of(work.fingerprint, now_seconds)
         targets = self._placement.serving()
-        if place is None or not targets:
+        if rank is None or not targets:
             return None
-        own = targets[place % len(targets)]
-        others = avoid | (frozenset(targets) - {own})
+        assigned = targets[rank % len(targets)]
+        others = avoid | (frozenset(targets) - {assigned})
         choice = self._placement.best(work, now_seconds, others, ahead_of)
         return choice if choice is not None and choice.can_take else None
 
--- a/lycheepost/decide/targethealth.py
+++ b/lycheepost/decide/targethealth.py
@@ -19,20 +19,20 @@
 """Endings count half after this time: a few tens of requests per target at the
 present rates, and a target that recovered is trusted again within ten seconds."""
 
-FIRST_REST_SECONDS = 0.5
+MIN_EJECTION_SECONDS = 0.5
 """A process that was restarted takes about a second; one whose listener was only
 full for a moment must not be lost for longer."""
 
-LONGEST_REST_SECONDS = 4.0
+MAX_EJECTION_SECONDS = 4.0
 """Each try of a dead target costs one request a connection attempt."""
 
-MIN_BAD = 2.0
+MIN_BAD_RESULTS = 2.0
 """One bad ending may be chance: targets fail a few in a hundred by themselves."""
 
-BAD_SHARE = 0.3
+MIN_BAD_SHARE = 0.3
 """Share of bad endings above which a target is left alone."""
 
-PEER_RATIO = 2.5
+MIN_PEER_RATIO = 2.5
 """How far above its peers' share it must be as well."""
 
 
@@ -50,16 +50,16 @@
 class _Record:
     good: float = 0.0
     bad: float = 0.0
-    counted_seconds: float = 0.0
-    rest_until_seconds: float = float("-inf")
-    rest_seconds: float = 0.0
+    updated_seconds: float = 0.0
+    ejected_until_seconds: float = float("-inf")
+    ejection_seconds: float = 0.0
     is_unreachable: bool = False
 
-    def fade(self, now_seconds: float) -> None:
-        share = 0.5 ** ((now_seconds - self.counted_seconds) / HALF_LIFE_SECONDS)
+    def decay(self, now_seconds: float) -> None:
+        share = 0.5 ** ((now_seconds - self.updated_seconds) / HALF_LIFE_SECONDS)
         self.good *= share
         self.bad *= share
-        self.counted_seconds = now_seconds
+        self.updated_seconds = now_seconds
 
     @property
     def bad_share(self) -> float:
@@ -74,14 +74,14 @@
 
     def observe(self, target: TargetId, ending: Ending, now_seconds: float) -> bool:
         """Count one ending; return whether the target is left alone from now on."""
-        record = self._records.setdefault(target, _Record(counted_seconds=now_seconds))
-        record.fade(now_seconds)
+        record = self._records.setdefault(target, _Record(updated_seconds=now_seconds))
+        record.decay(now_seconds)
         match ending:
             case Ending.GOOD:
                 record.good += 1.0
                 record.is_unreachable = False
-                if record.bad < MIN_BAD / 2:
-                    record.rest_seconds = 0.0
+                if record.bad < MIN_BAD_RESULTS / 2:
+                    record.ejection_seconds = 0.0
                 return False
             case Ending.BAD:
                 record.bad += 1.0
@@ -89,33 +89,33 @@
                     return False
             case Ending.UNREACHABLE:
                 record.is_unreachable = True
-        self._rest(record, now_seconds)
+        self._eject(record, now_seconds)
         return True
 
     def _is_bad(self, target: TargetId, record: _Record) -> bool:
-        if record.bad < MIN_BAD or record.bad_share < BAD_SHARE:
+        if record.bad < MIN_BAD_RESULTS or record.bad_share < MIN_BAD_SHARE:
             return False
         others = [item for name, item in self._records.items() if name != target]
         bad = sum(item.bad for item in others)
         total = bad + sum(item.good for item in others)
-        return record.bad_share > PEER_RATIO * bad / max(total, 1.0)
+        return record.bad_share > MIN_PEER_RATIO * bad / max(total, 1.0)
 
-    def _rest(self, record: _Record, now_seconds: float) -> None:
-        if now_seconds < record.rest_until_seconds:
+    def _eject(self, record: _Record, now_seconds: float) -> None:
+        if now_seconds < record.ejected_until_seconds:
             return
-        doubled = 2.0 * record.rest_seconds
-        rest_seconds = min(max(FIRST_REST_SECONDS, doubled), LONGEST_REST_SECONDS)
-        record.rest_seconds = rest_seconds
-        record.rest_until_seconds = now_seconds + rest_seconds
+        doubled = 2.0 * record.ejection_seconds
+        ejection_seconds = min(max(MIN_EJECTION_SECONDS, doubled), MAX_EJECTION_SECONDS)
+        record.ejection_seconds = ejection_seconds
+        record.ejected_until_seconds = now_seconds + ejection_seconds
         # The next requests after the rest shall judge it anew.
         record.bad /= 2.0
 
-    def resting(
+    def ejected(
         self, targets: Iterable[TargetId], now_seconds: float
     ) -> frozenset[TargetId]:
         """Return those of ``targets`` to leave alone now."""
         names = tuple(targets)
-        found = [name for name in names if self._rests(name, now_seconds)]
+        found = [name for name in names if self._is_ejected(name, now_seconds)]
         unreachable = [name for name in found if self._records[name].is_unreachable]
         if len(unreachable) == len(names):
             # Perhaps it is our own link that is down; there is nothing to lose.
@@ -124,9 +124,9 @@
             return frozenset(unreachable)
         return frozenset(found)
 
-    def _rests(self, target: TargetId, now_seconds: float) -> bool:
+    def _is_ejected(self, target: TargetId, now_seconds: float) -> bool:
         record = self._records.get(target)
-        return record is not None and now_seconds < record.rest_until_seconds
+        return record is not None and now_seconds < record.ejected_until_seconds
 
     def forget_one(self, target: TargetId) -> None:
         """Forget a target: it has started again, and its endings were another's."""
--- a/lycheepost/operators/customer_changes.py
+++ b/lycheepost/operators/customer_changes.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from lycheepost.core.quotas import quota_faults
+from lycheepost.core.quotas import quota_errors
 from lycheepost.generated.configuration import (
     Customer,
     CustomerQuota,
@@ -116,7 +116,7 @@
         burst=change.burst,
         plain_units=change.plain_units,
     )
-    reasons = quota_faults(to_quota(written))
+    reasons = quota_errors(to_quota(written))
     faults += [Fault("quota", change.customer, reason) for reason in reasons]
     if faults:
         return faults
--- a/lycheepost/peers/noticenews.py
+++ b/lycheepost/peers/noticenews.py
@@ -5,12 +5,12 @@
 
 from lycheepost.core.ids import TargetId
 from lycheepost.core.starts import TargetStart
-from lycheepost.decide.ratelimits import SaidLimit
+from lycheepost.decide.ratelimits import ReportedLimit
 from lycheepost.generated.messages import LeavingTarget, NoticeNews, TargetLimit
 
 
 def to_message(
-    limits: Mapping[TargetId, SaidLimit],
+    limits: Mapping[TargetId, ReportedLimit],
     leaving: Iterable[TargetStart],
     now_seconds: float,
 ) -> NoticeNews:
@@ -20,7 +20,7 @@
             TargetLimit(
                 target=target,
                 limit_per_second=said.per_second or 0.0,
-                age_seconds=now_seconds - said.said_seconds,
+                age_seconds=now_seconds - said.reported_seconds,
                 is_ended=said.per_second is None,
             )
             for target, said in limits.items()
@@ -34,12 +34,12 @@
 
 def limits_of(
     message: NoticeNews, now_seconds: float
-) -> list[tuple[TargetId, SaidLimit]]:
+) -> list[tuple[TargetId, ReportedLimit]]:
     """Return the limits that a message tells; figures that are none are left out."""
     return [
         (
             TargetId(item.target),
-            SaidLimit(
+            ReportedLimit(
                 None if item.is_ended else item.limit_per_second,
                 now_seconds - item.age_seconds,
                 is_own=False,
--- a/lycheepost/state/targetlist.py
+++ b/lycheepost/state/targetlist.py
@@ -429,9 +429,9 @@
         now_seconds = self._clock.now_seconds()
         self._forget_gone(now_seconds)
         self._newest = self._find_newest()
-        resting = self._resting(now_seconds)
+        ejected = self._resting(now_seconds)
         views = tuple(
-            self._view(known, name in resting, now_seconds)
+            self._view(known, name in ejected, now_seconds)
             for name, known in sorted(self._known.items())
         )
         if views != self._views:
@@ -454,15 +454,15 @@
             health.forget(self._known)
 
     def _resting(self, now_seconds: float) -> set[TargetId]:
-        resting: set[TargetId] = set()
+        ejected: set[TargetId] = set()
         for group, health in self._health.items():
             names = [
                 name
                 for name, known in self._known.items()
                 if known.listed.target_group == group and not known.listed.is_leaving
             ]
-            resting |= health.resting(names, now_seconds)
-        return resting
+            ejected |= health.ejected(names, now_seconds)
+        return ejected
 
     def _penalty_seconds(self, known: _Known, now_seconds: float) -> float:
         """Return what answers of a target are worth less, told as a wait."""
--- a/tools/fuzzquotas.py
+++ b/tools/fuzzquotas.py
@@ -61,7 +61,7 @@
         now_seconds = 0.1 * index
         data = msgspec.msgpack.encode(message)
         heard = msgspec.msgpack.decode(data, type=QuotaSpent)
-        quotas.hear(DaemonId(sender), from_message(heard), now_seconds)
+        quotas.receive(DaemonId(sender), from_message(heard), now_seconds)
         wait_seconds = quotas.take(CUSTOMER, 10.0, now_seconds)
         assert wait_seconds is None or 0.0 < wait_seconds < math.inf, wait_seconds
     left = quotas.left(CUSTOMER)
