--- a/features/decide/steps/routed.py
+++ b/features/decide/steps/routed.py
@@ -16,7 +16,7 @@
 )
 from lycheepost.decide.attempts import (
     AttemptEnd,
-    Attempts,
+    Sends,
     Step,
     next_step,
 )
@@ -134,7 +134,7 @@
 @when("a request that has {runs:d} runs besides ends as {end} with {left:g} s left")
 def step_end(context, runs, end, left):
     end = AttemptEnd(end)
-    sends = Attempts(runs, runs).add(end)
+    sends = Sends(runs, runs).add(end)
     context.step = next_step(context.route, sends, end, left)
 
 
@@ -146,7 +146,7 @@
 @when("every send of a request ends as {end}")
 def step_every(context, end):
     end = AttemptEnd(end)
-    sends = Attempts()
+    sends = Sends()
     step = Step.TRY_AGAIN
     while step is Step.TRY_AGAIN:
         sends = sends.add(end)
@@ -157,14 +157,12 @@
 @then("it is refused as not run after {n:d} sends")
 def step_refused(context, n):
     assert context.step is Step.REFUSE
-    assert context.sends == Attempts(n, 0), context.sends
+    assert context.sends == Sends(n, 0), context.sends
 
 
 @when("a request has {left:g} s left and {runs:d} runs")
 def step_left(context, left, runs):
-    context.silence = first_byte_timeout_seconds(
-        context.route, Attempts(runs, runs), left
-    )
+    context.silence = first_byte_timeout_seconds(context.route, Sends(runs, runs), left)
 
 
 @then("a silent target is left after {seconds:g} s")
--- a/features/decide/steps/silence_steps.py
+++ b/features/decide/steps/silence_steps.py
@@ -10,7 +10,7 @@
 from lycheepost.callers.relaying import read_patiently
 from lycheepost.core.ids import TargetGroupId
 from lycheepost.core.routing import GroupShare, Route, RouteKind
-from lycheepost.decide.attempts import Attempts
+from lycheepost.decide.attempts import Sends
 from lycheepost.decide.peerloads import DaemonLoad
 from lycheepost.decide.records import FinishKind
 from lycheepost.decide.retry import RetryTerms
@@ -44,7 +44,7 @@
 
 @when("a request of it has {left:g} s left and {runs:d} runs")
 def step_request(context, left, runs):
-    sends = Attempts(runs, runs)
+    sends = Sends(runs, runs)
     context.first = first_byte_timeout_seconds(context.route, sends, left)
     context.gap = idle_timeout_seconds(context.route, sends)
 
--- a/lycheepost/callers/forwarding.py
+++ b/lycheepost/callers/forwarding.py
@@ -38,7 +38,7 @@
 from lycheepost.core.routing import ListedTarget, RouteKind
 from lycheepost.decide.attempts import (
     AttemptEnd,
-    Attempts,
+    Sends,
     Step,
     last_step,
     next_step,
@@ -115,7 +115,7 @@
         self._way = way
         self._relay = AnswerRelay(deps, request, way.route, caller)
         self._work = make_work(deps, request, way, route_table(deps))
-        self._sends = Attempts()
+        self._sends = Sends()
         self._is_sent = False
         self._has_retry = False
         self._charge = make_charge(deps, request, way)
--- a/lycheepost/decide/attempts.py
+++ b/lycheepost/decide/attempts.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attempts:
+class Sends:
     """What has become of a request so far.
 
     Attributes:
@@ -63,14 +63,14 @@
     n_sends: int = 0
     n_runs: int = 0
 
-    def add(self, end: AttemptEnd) -> "Attempts":
+    def add(self, end: AttemptEnd) -> "Sends":
         """Return the counts after one more send."""
         has_run = end not in (AttemptEnd.NOT_SENT, AttemptEnd.NOT_RUN)
-        return Attempts(self.n_sends + 1, self.n_runs + has_run)
+        return Sends(self.n_sends + 1, self.n_runs + has_run)
 
 
 def next_step(
-    route: Route, attempts: Attempts, end: AttemptEnd, remaining_seconds: float
+    route: Route, attempts: Sends, end: AttemptEnd, remaining_seconds: float
 ) -> Step:
     """Return what follows a send that ended in ``end``.
 
@@ -80,14 +80,16 @@
         end: How it ended.
         remaining_seconds: Time until the caller leaves.
     """
-    has_time = remaining_seconds >= MIN_ATTEMPT_SECONDS and attempts.n_sends < MAX_ATTEMPTS
+    has_time = (
+        remaining_seconds >= MIN_ATTEMPT_SECONDS and attempts.n_sends < MAX_ATTEMPTS
+    )
     may_repeat = route.is_repeatable and attempts.n_runs < route.max_runs
     if has_time and (may_repeat or attempts.n_runs == 0):
         return Step.TRY_AGAIN
     return last_step(attempts, end)
 
 
-def last_step(attempts: Attempts, end: AttemptEnd) -> Step:
+def last_step(attempts: Sends, end: AttemptEnd) -> Step:
     """Return how a request ends when nothing more can be tried."""
     match end:
         case AttemptEnd.FAILED:
--- a/lycheepost/decide/feedtree.py
+++ b/lycheepost/decide/feedtree.py
@@ -1,15 +1,15 @@
-"""Whom a daemon asks for what the platform's store tells.
-
-The load: two hundred daemons need the configuration, the targets and the confirmation
-of keys within a second. Were each to ask the store, or one of every eight, most calls
-to it would be that. So the daemons are divided into groups, each within one
-availability zone. The first of a group asks the first ones of the groups before it,
-all others ask their own first one, and only the very first of all asks the store.
-
-Whoever is missed is left out, and the next in order takes its place. The order is the
-same for all daemons that know the same members, so nobody asks in a circle; where two
-know different ones, an answer that rests on no answer of the store grows old and is
-no longer passed on.
+"""The tree of daemons through which the contents of the platform's store are fetched.
+
+Two hundred daemons need the configuration, the targets and the confirmation of keys
+within a second. If each of them, or one of every eight, polled the store, most calls to
+the store would be these polls. So the daemons are divided into groups within one
+availability zone. The leader of a group asks the leaders of the groups before it, the
+other members ask their leader, and only the first leader of all asks the store.
+
+Unavailable daemons are skipped, and the next in order takes their place. The order is
+the same for all daemons that know the same members, so there are no cycles. If member
+lists differ and a cycle forms, its answers come from no answer of the store, grow old
+and are no longer passed on.
 """
 
 from collections import defaultdict
@@ -20,33 +20,35 @@
 from lycheepost.core.ids import AvailabilityZone, DaemonId
 
 GROUP_DAEMONS = 24
-"""Daemons of a group. Its first one answers each of the others three times a second for
-two tables: 140 short messages a second, which a narrow VM can carry."""
+"""Daemons of a group. Its leader answers each of the others three times a second for
+two tables, that is 140 short messages a second, which a small VM can carry."""
 
 ONE_GROUP_DAEMONS = 12
-"""A fleet of up to so many is one group."""
+"""A fleet of up to this size is one group."""
 
 MAX_SOURCES = 3
-"""Daemons that are asked in turn before the store is."""
+"""Daemons that are asked in turn before falling back to the store."""
 
 
 def find_sources(
     me: FleetMember, members: Iterable[FleetMember], serving: Container[DaemonId]
 ) -> tuple[DaemonId, ...]:
-    """Return whom to ask, best first; nobody for the one that asks the store.
+    """Return the daemons to ask, best first; empty for the one that asks the store.
 
     Args:
-        me: Who asks.
-        members: All other daemons, also those that cannot serve for a moment: left
-            out, they would move the groups of all others.
-        serving: The daemons that serve now; one that does not may be cut off.
+        me: The daemon that asks.
+        members: All other daemons, including those that cannot serve now, since
+            leaving them out would change the groups of all others.
+        serving: The daemons that serve now; the others may be unreachable.
     """
     groups = _make_groups({item.daemon: item for item in (me, *members)}.values())
     own = next(group for group in groups if me in group)
     before = _before(me, own, serving)
     if not before:
-        firsts = [_leader(group, me, serving) for group in groups]
-        leaders = sorted((item for item in firsts if item is not None), key=_order_key)
+        candidates = [_leader(group, me, serving) for group in groups]
+        leaders = sorted(
+            (item for item in candidates if item is not None), key=_order_key
+        )
         before = _before(me, leaders, serving)
     return tuple(item.daemon for item in before[:MAX_SOURCES])
 
@@ -62,13 +64,13 @@
     groups: list[list[FleetMember]] = []
     for _, found in sorted(by_zone.items()):
         n_groups = max(1, round(len(found) / GROUP_DAEMONS))
-        # Dealt out in turn, so that each group gets some of the zone's wide VMs.
+        # Assigned round-robin, so that each group gets some of the zone's large VMs.
         groups += [found[number::n_groups] for number in range(n_groups)]
     return groups
 
 
 def _order_key(member: FleetMember) -> tuple[float, int]:
-    """Order by width: a narrow link would be full of a whole read by twenty others."""
+    """Order by link capacity: twenty full reads would saturate a slow link."""
     return -member.capacity.link_mbps, hash_bytes(member.daemon.encode())
 
 
--- a/lycheepost/decide/fleetquota.py
+++ b/lycheepost/decide/fleetquota.py
@@ -1,13 +1,13 @@
-"""Hold customers to their quotas over all daemons together.
+"""Customer quotas enforced across all daemons of the fleet.
 
-The load: one customer asks for five times its usual, through ten daemons at once.
-Without a quota its work is read in place of what the others ask for; where each daemon
-holds it to the whole quota, it gets ten times that.
+A customer may send five times its usual load through ten daemons at once. Without a
+quota it displaces the work of other customers, and if each daemon enforced the whole
+quota by itself, the customer would get ten times its quota.
 
-Each daemon keeps, for each customer, the bucket of the whole fleet. It takes from it
-what it lets through itself and, twenty times a second, what its mates say that they let
-through. No daemon owns a customer, so none is missed when it dies, and the count of
-what was spent is never asked for while a request waits.
+Each daemon keeps a token bucket for the whole fleet per customer. It subtracts what it
+admits itself and, twenty times a second, what its peers report that they admitted. No
+daemon owns a customer, so the loss of a daemon loses no state, and no request waits
+for a remote call.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -19,26 +19,26 @@
 from lycheepost.decide.quotapeers import ASSUMED_DAEMONS, LINGER_SECONDS, QuotaPeers
 
 UPDATE_INTERVAL_SECONDS = 0.05
-"""How soon a mate is told of what was let through. A customer that asks for five times
-its quota is let through a quarter of a second's worth of it more."""
+"""Time between two updates to a peer. A customer that asks for five times its quota can
+exceed it by a quarter of a second's worth of units in this time."""
 
 HEARTBEAT_SECONDS = 0.2
-"""How often a mate is told though nothing was let through."""
+"""Time between two updates to a peer when no request was admitted."""
 
 FULL_UPDATE_INTERVAL_SECONDS = 1.0
-"""How often it is told of all customers, for what was lost on the way."""
+"""Time between two updates that cover all customers, which replace lost messages."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaUpdate:
-    """What one daemon says to another.
+    """A quota update from one daemon to another.
 
     Attributes:
         start: Differs between two starts of the sender.
-        is_entry: Callers are sent to the sender.
-        is_synced: Its levels rest on what the whole fleet spent.
-        wants_relay: The receiver shall tell its mates what the sender spends.
-        counts: What it says of customers.
+        is_entry: Whether the sender is an entry daemon.
+        is_synced: Whether its levels include what the whole fleet spent.
+        wants_relay: Whether the receiver should relay what the sender spends.
+        counts: Units spent and left per customer.
     """
 
     start: int
@@ -49,15 +49,15 @@
 
 
 class FleetQuotas:
-    """The quotas of all customers, as one daemon of the fleet holds them.
+    """The quotas of all customers, as tracked by one daemon of the fleet.
 
     Args:
         start: Differs between two starts of this daemon.
         started_seconds: When this daemon started.
 
     Attributes:
-        share: The part of each quota that those who hear each other may spend.
-        n_share_changes: Rises with each change of ``share``.
+        share: Fraction of each quota that the reachable daemons may spend together.
+        n_share_changes: Number of changes of ``share``.
     """
 
     def __init__(self, start: int, started_seconds: float) -> None:
@@ -73,11 +73,11 @@
 
     @property
     def has_quotas(self) -> bool:
-        """Tell whether any customer has a quota."""
+        """Return whether any customer has a quota."""
         return bool(self._meters)
 
     def set_tolerance(self, tolerance: QuotaTolerance) -> None:
-        """Follow how far the fleet may go beyond a quota."""
+        """Set how far the fleet may exceed a quota."""
         if tolerance == self._tolerance:
             return
         self._tolerance = tolerance
@@ -87,7 +87,7 @@
     def set_quotas(
         self, quotas: Mapping[CustomerId, Quota], now_seconds: float
     ) -> None:
-        """Follow the quotas in force; a customer that isn't named has none."""
+        """Set the quotas in force; a customer without an entry has none."""
         for customer in self._meters.keys() - quotas.keys():
             del self._meters[customer]
         age_seconds = now_seconds - self._started_seconds
@@ -101,14 +101,13 @@
                 meter.change(quota, now_seconds)
 
     def set_fleet(self, n_daemons: int) -> None:
-        """Follow how many daemons there may be, also those that were not heard yet."""
+        """Set how many daemons there may be, including those not yet reachable."""
         self._peers.set_fleet(n_daemons)
 
     def set_entry(self, peers: Iterable[DaemonId], now_seconds: float) -> None:
-        """Follow the other daemons that callers are sent to, as one of them."""
+        """Make this daemon an entry daemon, with the other entry daemons as peers."""
         if self._peers.is_standby:
-            # Those who forgot this daemon would count what it spent as one of them
-            # before a second time.
+            # Peers that dropped this daemon would count its earlier units twice.
             self._restart_counts()
         self._peers.set_entry(peers, now_seconds)
         self._refresh_peers(now_seconds)
@@ -116,11 +115,11 @@
     def set_standby(
         self, relay: DaemonId | None, n_entry: int, now_seconds: float
     ) -> None:
-        """Follow whom to tell as a daemon that callers are not sent to.
+        """Make this daemon a standby daemon, which reports through a relay.
 
         Args:
-            relay: The daemon that tells the others what is let through here.
-            n_entry: Daemons that callers are sent to.
+            relay: The daemon that reports to the others what is admitted here.
+            n_entry: Number of entry daemons.
             now_seconds: The present time.
         """
         if self._peers.needs_relay and relay != self._peers.relay:
@@ -129,9 +128,9 @@
         self._refresh_peers(now_seconds)
 
     def listeners(self, now_seconds: float) -> tuple[DaemonId, ...]:
-        """Return who is told.
+        """Return the daemons to send updates to.
 
-        A daemon that stands by tells its relay, while there is something to tell.
+        A standby daemon sends only to its relay, and only while it spends units.
         """
         self._refresh_peers(now_seconds)
         if not self._peers.needs_relay:
@@ -141,11 +140,11 @@
         return (relay,) if relay is not None and has_spent else ()
 
     def update(self, is_full: bool, now_seconds: float) -> QuotaUpdate:
-        """Return what the listeners shall be told now.
+        """Return the update to send to the listeners now.
 
         Args:
-            is_full: Of every customer that has less than its burst left, also where
-                nothing was let through here.
+            is_full: Whether to include every customer that has less than its burst
+                left, also where nothing was admitted here.
             now_seconds: The present time.
         """
         self._catch_up(now_seconds)
@@ -164,10 +163,10 @@
     def receive(
         self, daemon: DaemonId, update: QuotaUpdate, now_seconds: float
     ) -> None:
-        """Take what another daemon says.
+        """Apply an update from another daemon.
 
-        A daemon that is no mate any more, and was forgotten here, isn't one again for
-        what it still says: its counts reach back to what was counted long ago.
+        An update from a former peer that was dropped here doesn't make it a peer again:
+        its counts include units that were counted long ago.
         """
         for meter, _count in self._known(update):
             meter.catch_up(now_seconds)
@@ -182,7 +181,7 @@
     def _receive_from_standby(
         self, daemon: DaemonId, update: QuotaUpdate, now_seconds: float
     ) -> None:
-        """Count what a daemon that stands by lets through as let through here."""
+        """Count what a standby daemon admits as admitted by this daemon."""
         is_same_start = self._peers.note_relayed(daemon, update.start, now_seconds)
         for meter, count in self._known(update):
             if not is_same_start:
@@ -194,7 +193,7 @@
     def _receive_from_relay(
         self, daemon: DaemonId, update: QuotaUpdate, now_seconds: float
     ) -> None:
-        """Take over what is left; the relay has counted what was spent here."""
+        """Adopt the relay's levels, which already include what was spent here."""
         if daemon != self._peers.relay:
             return
         self._peers.note_relay(now_seconds)
@@ -214,7 +213,7 @@
                 meter.reported_spent.pop(daemon, None)
             is_first = daemon not in meter.reported_spent
             if adopts or (is_first and update.is_synced):
-                # What it let through before this daemon heard of it is in its level.
+                # Its level includes what it admitted before its first update here.
                 meter.adopt_lower_level(daemon, count)
             else:
                 meter.add_peer_count(daemon, count)
@@ -229,10 +228,10 @@
     def take(
         self, customer: CustomerId, units: float, now_seconds: float
     ) -> float | None:
-        """Let a request through, or return after how many seconds to come back.
+        """Admit a request, or return the seconds after which to retry.
 
         Returns:
-            None when it was let through; its units are spent then.
+            None if the request was admitted, in which case its units are spent.
         """
         meter = self._meters.get(customer)
         if meter is None:
@@ -246,18 +245,18 @@
         return None
 
     def refused(self) -> Iterator[tuple[CustomerId, QuotaMeter]]:
-        """Yield the customers of whom requests were refused here."""
+        """Yield the customers with requests refused by this daemon."""
         for customer, meter in self._meters.items():
             if meter.n_refused:
                 yield customer, meter
 
     def left(self, customer: CustomerId) -> float | None:
-        """Return what is left for a customer; None where it has no quota."""
+        """Return the units left for a customer; None if it has no quota."""
         meter = self._meters.get(customer)
         return None if meter is None else meter.fleet.level
 
     def refund(self, customer: CustomerId, units: float, now_seconds: float) -> None:
-        """Return the units of a request that was let through and never ran."""
+        """Refund the units of a request that was admitted but never ran."""
         meter = self._meters.get(customer)
         if meter is None:
             return
@@ -272,13 +271,13 @@
         self._spent_seconds = now_seconds
 
     def _restart_counts(self) -> None:
-        """Begin new counts, where others may have forgotten the ones before."""
+        """Restart the counts from 0, since others may have dropped the old ones."""
         self._start += 1
         for meter in self._meters.values():
             meter.spent = 0.0
 
     def status(self, now_seconds: float) -> dict[str, object]:
-        """Return what is left for each customer and what was refused here."""
+        """Return the units left and the requests refused here, per customer."""
         self._catch_up(now_seconds)
         return {
             "share": round(self.share, 3),
@@ -293,7 +292,7 @@
             meter.catch_up(now_seconds)
 
     def _refresh_peers(self, now_seconds: float) -> None:
-        """Follow which mates are heard of."""
+        """Drop departed peers and update the share of the reachable ones."""
         self._refreshed_seconds = now_seconds
         for daemon in self._peers.forget(now_seconds):
             self._forget_counts(daemon)
--- a/lycheepost/decide/peerloads.py
+++ b/lycheepost/decide/peerloads.py
@@ -1,9 +1,9 @@
-"""What the other daemons have under way at each target.
+"""Requests in flight from the other daemons, per target.
 
-The failure: daemons that do not see each other's work all choose the target that
-looked idle a moment ago. It shows as targets that reject a third of their arrivals
-while others stand empty. In a small fleet each daemon tells the others what it has
-at each target several times a second, and everybody places by the sum.
+Daemons that don't know each other's requests all choose the target that was idle
+recently, so that some targets reject a third of their requests while others are idle.
+In a small fleet each daemon sends its load per target to the others several times a
+second, and all of them place requests by the sum.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,17 +12,17 @@
 from lycheepost.core.ids import DaemonId, TargetGroupId, TargetId
 
 MAX_AGE_SECONDS = 1.0
-"""A daemon that was silent for longer has most likely died, and its requests with
-it; what its targets still run shows in their own reports."""
+"""A daemon that sent nothing for longer has most likely died, and its requests with it;
+what its targets still run is in their own load reports."""
 
 
 @dataclass(frozen=True, slots=True)
 class DaemonLoad:
-    """What one daemon has at one target.
+    """The load that one daemon has at one target.
 
     Attributes:
-        queued_tokens: Prompt tokens to be read before their first token.
-        n_running: Requests sent and not ended.
+        queued_tokens: Prompt tokens of requests that have no first token yet.
+        n_running: Requests sent that have not ended.
     """
 
     queued_tokens: int
@@ -35,10 +35,10 @@
 def find_changes(
     before: Mapping[TargetId, DaemonLoad], now: Mapping[TargetId, DaemonLoad]
 ) -> dict[TargetId, DaemonLoad]:
-    """Return what differs from what was told before; ``NO_LOAD`` where all has ended.
+    """Return the loads that changed; ``NO_LOAD`` where all requests have ended.
 
-    The load: word of every request goes to each peer within milliseconds. Most of it
-    would repeat what the peers know, and it crosses availability zones.
+    Load is sent to each peer within milliseconds of every request. Most of a full
+    report would repeat what the peers know, and it crosses availability zones.
     """
     names = before.keys() | now.keys()
     changed = {name for name in names if before.get(name) != now.get(name)}
@@ -54,18 +54,18 @@
 
 @dataclass(slots=True)
 class PeerLoads:
-    """The last word of each daemon."""
+    """The last load report of each daemon."""
 
     _reports: dict[DaemonId, _Report] = field(default_factory=dict)
 
     def observe(
         self, daemon: DaemonId, loads: Mapping[TargetId, DaemonLoad], now_seconds: float
     ) -> None:
-        """Take what a daemon has under way; it replaces what it told before."""
+        """Store a daemon's full load report in place of the previous one."""
         self._reports[daemon] = _Report(now_seconds, loads)
 
     def note_waiting(self, daemon: DaemonId, groups: Iterable[TargetGroupId]) -> None:
-        """Take which groups a daemon has requests waiting for."""
+        """Store the groups for which a daemon has requests waiting."""
         report = self._reports.get(daemon)
         if report is not None:
             report.waiting_groups = frozenset(groups)
@@ -78,19 +78,19 @@
     def observe_changes(
         self, daemon: DaemonId, loads: Mapping[TargetId, DaemonLoad], now_seconds: float
     ) -> None:
-        """Take what changed since a daemon last told; unknown without that."""
+        """Apply changes to a daemon's last report; ignored if there is none."""
         self._drop_expired(now_seconds)
         report = self._reports.get(daemon)
         if report is not None:
             self._reports[daemon] = _Report(now_seconds, {**report.loads, **loads})
 
     def is_known(self, now_seconds: float) -> bool:
-        """Tell whether any peer has told its load of late."""
+        """Return whether any peer has reported its load recently."""
         self._drop_expired(now_seconds)
         return bool(self._reports)
 
     def at(self, target: TargetId, now_seconds: float) -> DaemonLoad:
-        """Return what all peers together have at a target."""
+        """Return the total load of all peers at a target."""
         self._drop_expired(now_seconds)
         found = [
             report.loads[target]
@@ -103,7 +103,7 @@
         )
 
     def totals(self, now_seconds: float) -> dict[TargetId, DaemonLoad]:
-        """Return the same of all targets at which any peer has something."""
+        """Return the total load of all peers, for each target that has any."""
         self._drop_expired(now_seconds)
         tokens: dict[TargetId, int] = {}
         running: dict[TargetId, int] = {}
--- a/lycheepost/decide/quotameter.py
+++ b/lycheepost/decide/quotameter.py
@@ -1,9 +1,9 @@
-"""What is left of one customer's quota, as one daemon sees it.
+"""One customer's remaining quota, as seen by one daemon.
 
-Two buckets. That of the fleet is less what any daemon let through, as far as it is
-known here. While some daemons aren't heard, a second one holds the part of those that
-hear each other, so that two halves of a fleet that is cut apart spend no more together
-than the whole.
+There are two token buckets. The fleet bucket holds the quota minus what all daemons are
+known to have admitted. While some daemons are unreachable, a second bucket holds the
+share of the reachable ones, so that the two halves of a partitioned fleet don't spend
+more together than the whole quota.
 """
 
 from dataclasses import dataclass, field
@@ -13,25 +13,25 @@
 from lycheepost.decide.tokenbucket import TokenBucket
 
 USED_TOLERANCE_SHARE = 0.2
-"""Part of what is tolerated beyond a quota that is let through. It covers requests that
-were counted here and did not run, and what daemons count twice or late, so that nobody
-is refused below the quota."""
+"""Fraction of the tolerance that is added to the quota. It covers requests that were
+counted but did not run, and units that daemons count twice or late, so that no customer
+is refused below its quota."""
 
 START_TOLERANCE_SHARE = 0.4
-"""The same for what a bucket holds at the start of a daemon that nobody tells how much
-is left. When all daemons have lost power, none of them knows what was spent before."""
+"""Fraction of the tolerance that a bucket holds when a daemon starts and no peer has
+reported a level. After a power loss of all daemons none knows what was spent before."""
 
 MAX_WAIT_SECONDS = 10.0
-"""A caller that is told to come back later than this has gone elsewhere."""
+"""Callers don't wait for a retry time longer than this."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaCount:
-    """What one daemon says of one customer.
+    """One daemon's report on one customer.
 
     Attributes:
-        spent: Units that it has let through since its start.
-        level: Units that are left for the fleet, as far as it knows.
+        spent: Units that it has admitted since its start.
+        level: Units left for the fleet, as far as it knows.
     """
 
     spent: float
@@ -39,11 +39,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Lower:
-    """A lower quota that does not bind yet.
+class _PendingQuota:
+    """A lower quota that is not in force yet.
 
     Attributes:
-        due_seconds: When it binds.
+        due_seconds: When it comes into force.
     """
 
     quota: Quota
@@ -52,17 +52,17 @@
 
 @dataclass(slots=True)
 class QuotaMeter:
-    """One customer; made by ``make_meter``.
+    """The quota of one customer; made by ``make_meter``.
 
     Attributes:
-        tolerance: How far the fleet may go beyond the quota.
-        fleet: What is left for the whole fleet.
-        reachable: What is left for the daemons that hear each other, while some are
-            missing; None while none is.
-        spent: Units let through here since the start.
-        reported_spent: The count of units that each daemon has told.
+        tolerance: How far the fleet may exceed the quota.
+        fleet: Units left for the whole fleet.
+        reachable: Units left for the reachable daemons while others are unreachable;
+            None while all are reachable.
+        spent: Units admitted here since the start.
+        reported_spent: Units spent as last reported by each daemon.
         n_refused: Requests refused here.
-        is_changed: Something was let through since the mates were told.
+        is_changed: Whether units were admitted here since the last update to the peers.
     """
 
     quota: Quota
@@ -73,19 +73,19 @@
     reported_spent: dict[DaemonId, float] = field(default_factory=dict)
     n_refused: int = 0
     is_changed: bool = False
-    _lower: _Lower | None = None
+    _pending: _PendingQuota | None = None
     _partition_spent: float = 0.0
-    """By those who hear each other, since they are fewer than all."""
+    """Units spent by the reachable daemons since others became unreachable."""
     _promised: float = 0.0
     _promised_seconds: float = 0.0
 
     def catch_up(self, now_seconds: float) -> None:
-        """Bring the buckets up to date."""
-        lower = self._lower
-        if lower is not None and now_seconds >= lower.due_seconds:
-            self._refill(lower.due_seconds)
-            self._lower = None
-            self._set_terms(lower.quota)
+        """Refill the buckets, and apply a lower quota that is due."""
+        pending = self._pending
+        if pending is not None and now_seconds >= pending.due_seconds:
+            self._refill(pending.due_seconds)
+            self._pending = None
+            self._set_terms(pending.quota)
         self._refill(now_seconds)
 
     def _refill(self, now_seconds: float) -> None:
@@ -94,23 +94,23 @@
             self.reachable.refill(now_seconds)
 
     def change(self, quota: Quota, now_seconds: float) -> None:
-        """Follow a change; a lower quota binds one window after it came.
+        """Change the quota; a lower one comes into force after one window.
 
-        Its customer has asked for what the higher one allowed, and is not to be
-        refused for that.
+        Until then the customer's requests are within the higher quota, and refusing
+        them would be wrong.
         """
         self.catch_up(now_seconds)
         if not _is_lower(quota, self.quota):
-            self._lower = None
+            self._pending = None
             self._set_terms(quota)
             return
         due_seconds = now_seconds + self.tolerance.window_seconds
-        if self._lower is not None:
-            due_seconds = self._lower.due_seconds
-        self._lower = _Lower(quota, due_seconds)
+        if self._pending is not None:
+            due_seconds = self._pending.due_seconds
+        self._pending = _PendingQuota(quota, due_seconds)
 
     def set_tolerance(self, tolerance: QuotaTolerance) -> None:
-        """Follow how far the fleet may go beyond the quota."""
+        """Set how far the fleet may exceed the quota."""
         self.tolerance = tolerance
         self._set_terms(self.quota)
 
@@ -124,13 +124,13 @@
 
     @property
     def share(self) -> float:
-        """Return the part of the quota that those who hear each other may spend."""
+        """Return the fraction of the quota that the reachable daemons may spend."""
         if self.reachable is None:
             return 1.0
         return self.reachable.rate_per_second / self.fleet.rate_per_second
 
     def divide(self, share: float) -> None:
-        """Let the daemons that hear each other spend their part of what is left."""
+        """Limit the reachable daemons to their share of the units left."""
         if share >= 1.0:
             self.reachable = None
             self._partition_spent = 0.0
@@ -146,14 +146,14 @@
         )
 
     def wait_seconds(self) -> float:
-        """Return the time until a request may pass; 0 for now."""
+        """Return the time until a request may be admitted; 0 for now."""
         wait_seconds = self.fleet.wait_seconds()
         if self.reachable is None:
             return wait_seconds
         return max(wait_seconds, self.reachable.wait_seconds())
 
     def spend(self, units: float) -> None:
-        """Count units that were let through here, or given back."""
+        """Count units that were admitted here, or refunded if negative."""
         self._add(-units)
         self.spent += units
         self.is_changed = True
@@ -165,11 +165,10 @@
             self._partition_spent -= units
 
     def refuse(self, units: float) -> float:
-        """Count a refused request; return after how many seconds it may come back.
+        """Count a refused request; return the seconds after which it may retry.
 
-        The load: a hundred refused requests of one customer. Told the same moment they
-        come back together and are refused together, so each is told when its own units
-        will have come.
+        If a hundred refused requests got the same retry time, they would return and be
+        refused together. So each gets the time at which its own units are refilled.
         """
         self.n_refused += 1
         rate_per_second = self.fleet.rate_per_second
@@ -183,31 +182,30 @@
         return min(MAX_WAIT_SECONDS, wait_seconds)
 
     def update_reported_spent(self, daemon: DaemonId, spent: float) -> float:
-        """Take the count of a daemon; return by how much it has risen."""
+        """Store a daemon's spent count; return its increase."""
         before = self.reported_spent.get(daemon, 0.0)
         self.reported_spent[daemon] = spent
         return spent - before
 
     def add_peer_count(self, daemon: DaemonId, count: QuotaCount) -> None:
-        """Count what a mate let through since it last spoke.
+        """Subtract what a peer admitted since its last update.
 
-        Its level isn't followed. A busy daemon hears late of what was spent, so that
-        its level is always too high, and each message of it would raise the others
-        again.
+        Its level is not adopted. A busy daemon processes updates late, so its level is
+        always too high, and each of its updates would raise the other daemons' levels.
         """
         self._add(-self.update_reported_spent(daemon, count.spent))
 
     def adopt_lower_level(self, daemon: DaemonId, count: QuotaCount) -> None:
-        """Take the level of a daemon that knows more, if it is the lower one."""
+        """Adopt the level of a better informed daemon if it is lower."""
         self.reported_spent[daemon] = count.spent
         self._add(min(0.0, count.level - self.fleet.level))
 
     def adopt_level(self, count: QuotaCount) -> None:
-        """Take the level of a daemon that has counted all that was spent here."""
+        """Adopt the level of a daemon that has counted all units spent here."""
         self.fleet.level = min(self.fleet.capacity, count.level)
 
     def status(self) -> dict[str, object]:
-        """Return the quota, what is left of it, and what was refused here."""
+        """Return the quota, the units left, and the requests refused here."""
         return {
             "unit": self.quota.unit.value,
             "rate_per_second": self.quota.rate_per_second,
@@ -229,9 +227,9 @@
 
     Args:
         quota: Its quota.
-        tolerance: How far the fleet may go beyond it.
-        share: Part of it that the daemons that hear each other may spend.
-        age_seconds: Since the start of this daemon.
+        tolerance: How far the fleet may exceed it.
+        share: Fraction of it that the reachable daemons may spend.
+        age_seconds: Time since the start of this daemon.
         now_seconds: The present time.
     """
     start_units = START_TOLERANCE_SHARE * tolerance.of(quota)
@@ -246,12 +244,12 @@
 
 
 def find_terms(quota: Quota, tolerance: QuotaTolerance) -> tuple[float, float]:
-    """Return the rate and the capacity of a quota's bucket."""
+    """Return the refill rate and the capacity of a quota's bucket."""
     more = 1.0 + USED_TOLERANCE_SHARE * tolerance.share
     capacity = more * quota.burst + USED_TOLERANCE_SHARE * tolerance.units
     return more * quota.rate_per_second, capacity
 
 
 def _is_lower(quota: Quota, before: Quota) -> bool:
-    """Tell whether a quota allows less than the one before in any way."""
+    """Return whether a quota has a lower rate or burst than the previous one."""
     return quota.rate_per_second < before.rate_per_second or quota.burst < before.burst
--- a/lycheepost/decide/quotapeers.py
+++ b/lycheepost/decide/quotapeers.py
@@ -1,7 +1,8 @@
-"""Which daemons let requests through beside this one, and which of them are heard.
+"""The other daemons that admit requests, and which of them are reachable.
 
-A mate that isn't heard of may be dead, frozen, or serving callers behind a cut. Until
-it is certain to serve nobody it is taken to spend its part of each quota.
+An unreachable peer may be dead, frozen, or still serving callers behind a network
+partition. Until it certainly serves nobody, it is assumed to spend its share of each
+quota.
 """
 
 from collections.abc import Iterable
@@ -10,41 +11,41 @@
 from lycheepost.core.ids import DaemonId
 
 PEER_TIMEOUT_SECONDS = 0.6
-"""A mate that was silent for so long has missed two heartbeats and a resend."""
+"""A peer is unreachable after this time, that is two heartbeats and a resend."""
 
 LINGER_SECONDS = 4.0
-"""A daemon that is no mate any more may go on serving for so long: those who leave take
-requests for some seconds, and those who are cut off from the store until they can no
-longer confirm their callers' keys."""
+"""How long a daemon that is no longer listed may go on serving: a leaving daemon takes
+requests for some seconds, and one without a connection to the store serves until it can
+no longer confirm its callers' keys."""
 
 PARTITION_LINGER_SECONDS = 20.0
-"""The same where most mates went missing at once. Then it is more likely this daemon
-that is cut off, and the others may serve for as long as the cut lasts."""
+"""The same when most peers become unreachable at once. Then this daemon is more likely
+partitioned, and the others may serve for as long as the partition lasts."""
 
 SETTLE_SECONDS = 1.2
-"""How long after its start a daemon may not know which others are its mates, where
-they are few."""
+"""Time after its start in which a daemon with few peers may not know all of them."""
 
 NO_CONTACT_LINGER_SECONDS = 0.5
-"""How long a daemon that never spoke counts as a mate after it was last one. When all
-daemons start at once, each takes others for its mates for a moment."""
+"""How long a daemon that never sent a message stays a peer once it is no longer listed.
+When all daemons start at once, each briefly lists others as peers."""
 
 SETTLED_DAEMONS = 10
-"""A daemon that has so many mates, with itself, knows them also before that."""
+"""With this many reachable daemons, itself included, a daemon knows its peers before
+``SETTLE_SECONDS`` have passed."""
 
 ASSUMED_DAEMONS = 20
-"""Daemons that callers may come to, until it is known how many there are. When all
-start at once each names itself to callers first, so that they come to all."""
+"""Daemons that callers may use, until the number is known. When all daemons start at
+once, each first gives callers its own address, so that callers use all of them."""
 
 
 @dataclass(slots=True)
 class _Peer:
-    """Another daemon that lets requests through.
+    """Another daemon that admits requests.
 
     Attributes:
-        last_listed_seconds: When it last was one of the mates.
-        start: Differs between two starts of it; None before it spoke.
-        last_contact_seconds: When it last said something.
+        last_listed_seconds: When it was last listed as a peer.
+        start: Differs between two of its starts; None before its first message.
+        last_contact_seconds: When it last sent a message.
     """
 
     last_listed_seconds: float
@@ -55,7 +56,7 @@
         return now_seconds - self.last_contact_seconds <= PEER_TIMEOUT_SECONDS
 
     def note_contact(self, start: int, now_seconds: float) -> bool:
-        """Note that it spoke; return whether its counts go on from before."""
+        """Record a message; return whether its counts continue the earlier ones."""
         is_same_start = self.start == start
         self.start = start
         self.last_contact_seconds = now_seconds
@@ -64,15 +65,16 @@
 
 @dataclass(slots=True)
 class QuotaPeers:
-    """The other daemons, as one of them sees them.
+    """The other daemons, as seen by one of them.
 
     Attributes:
         started_seconds: When this daemon started.
-        is_entry: Callers are sent to this daemon.
-        is_standby: They are not; neither is known at first.
-        is_synced: All mates were heard since this daemon is one of them, or one that
-            had heard all told it what is left.
-        relay: Whom this daemon tells what it lets through while it stands by.
+        is_entry: Whether this is an entry daemon.
+        is_standby: Whether this is a standby daemon. Both are False at first, when
+            its role is unknown.
+        is_synced: Whether all peers were reachable since this became an entry daemon,
+            or a peer for which this holds has reported its levels.
+        relay: The daemon through which a standby daemon reports what it admits.
     """
 
     started_seconds: float
@@ -87,14 +89,14 @@
     _n_expected: int = ASSUMED_DAEMONS
 
     def set_fleet(self, n_daemons: int) -> None:
-        """Follow how many daemons there may be, also those that were not heard yet.
+        """Set how many daemons there may be, including those not yet reachable.
 
-        Until they are known a daemon that starts takes itself for one of many.
+        A starting daemon assumes that there are many until it knows them.
         """
         self._n_expected = n_daemons
 
     def set_entry(self, peers: Iterable[DaemonId], now_seconds: float) -> None:
-        """Follow the other daemons that callers are sent to, as one of them."""
+        """Make this daemon an entry daemon, with the other entry daemons as peers."""
         self.is_entry = True
         self.is_standby = False
         self.relay = None
@@ -104,11 +106,11 @@
         self._n_daemons = 1 + len(self._peers)
 
     def set_standby(self, relay: DaemonId | None, n_entry: int) -> None:
-        """Follow whom to tell as a daemon that callers are not sent to.
+        """Make this daemon a standby daemon, which reports through a relay.
 
         Args:
-            relay: The daemon that tells the others what is let through here.
-            n_entry: Daemons that callers are sent to.
+            relay: The daemon that reports to the others what is admitted here.
+            n_entry: Number of entry daemons.
         """
         self.is_entry = False
         self.is_standby = True
@@ -120,37 +122,37 @@
 
     @property
     def needs_relay(self) -> bool:
-        """Tell whether nobody counts on hearing from this daemon: it stands by."""
+        """Return whether no peer expects updates from this daemon, as on standby."""
         return not (self.is_entry or self._peers)
 
     def listeners(self) -> tuple[DaemonId, ...]:
-        """Return the mates, who lately was a mate, and who stands by and has asked."""
+        """Return current and recent peers, and standby daemons that use this relay."""
         return tuple(sorted({*self._peers, *self._relayed}))
 
     def is_peer(self, daemon: DaemonId) -> bool:
-        """Tell whether a daemon is one of the mates."""
+        """Return whether a daemon is a peer."""
         return daemon in self._peers
 
     def note_peer(
         self, daemon: DaemonId, start: int, is_entry: bool, now_seconds: float
     ) -> bool:
-        """Note that a mate spoke; return whether its counts go on from before."""
+        """Record a peer's message; return whether its counts continue."""
         peer = self._peers.setdefault(daemon, _Peer(now_seconds))
         if is_entry:
             peer.last_listed_seconds = now_seconds
         return peer.note_contact(start, now_seconds)
 
     def note_relayed(self, daemon: DaemonId, start: int, now_seconds: float) -> bool:
-        """The same of a daemon that stands by, and is told about by this one."""
+        """Record a message of a standby daemon; return whether its counts continue."""
         peer = self._relayed.setdefault(daemon, _Peer(now_seconds))
         return peer.note_contact(start, now_seconds)
 
     def note_relay(self, now_seconds: float) -> None:
-        """Note that the relay spoke."""
+        """Record a message of the relay."""
         self._relay_contact_seconds = now_seconds
 
     def find_share(self, now_seconds: float) -> float:
-        """Return the part of a quota that those who hear each other may spend."""
+        """Return the fraction of a quota that the reachable daemons may spend."""
         n_reachable = self._count_reachable(now_seconds)
         n_daemons = max(self._n_daemons, 1 + len(self._peers))
         if self.needs_relay:
@@ -166,7 +168,7 @@
         return n_reachable / n_daemons
 
     def forget(self, now_seconds: float) -> list[DaemonId]:
-        """Forget who can no longer serve anybody; return who that is."""
+        """Drop the daemons that can no longer serve anybody, and return them."""
         n_reachable = self._count_reachable(now_seconds)
         is_partitioned = 2 * n_reachable <= 1 + len(self._peers)
         max_silent_seconds = (
@@ -192,5 +194,5 @@
         return gone + silent
 
     def _count_reachable(self, now_seconds: float) -> int:
-        """Return how many mates are heard, and this daemon."""
+        """Return the number of reachable daemons, this one included."""
         return 1 + sum(peer.is_reachable(now_seconds) for peer in self._peers.values())
--- a/lycheepost/decide/silence.py
+++ b/lycheepost/decide/silence.py
@@ -10,7 +10,7 @@
 """
 
 from lycheepost.core.routing import Route, RouteKind
-from lycheepost.decide.attempts import Attempts
+from lycheepost.decide.attempts import Sends
 
 MIN_CALLER_TIMEOUT_SECONDS = 2.0
 CALLER_TIMEOUT_OBJECTIVES = 4.0
@@ -48,7 +48,7 @@
 
 
 def first_byte_timeout_seconds(
-    route: Route, attempts: Attempts, remaining_seconds: float
+    route: Route, attempts: Sends, remaining_seconds: float
 ) -> float:
     """Return how long to wait for the first part of an answer.
 
@@ -68,7 +68,7 @@
     return min(timeout_seconds, FIRST_ATTEMPT_SHARE * remaining_seconds)
 
 
-def idle_timeout_seconds(route: Route, attempts: Attempts) -> float | None:
+def idle_timeout_seconds(route: Route, attempts: Sends) -> float | None:
     """Return how long a stream may pause before another target continues it.
 
     None where nobody else may continue, so that an earlier end would help nobody.
