--- a/lycheepost/decide/notices.py
+++ b/lycheepost/decide/notices.py
@@ -1,4 +1,4 @@
-"""What targets have said of themselves: one record for all kinds of notice."""
+"""Notices of targets about themselves: limits, leaving and back-offs."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitChanged:
-    """A target names another limit, or none any more (None)."""
+    """A target has set another limit, or ended its limit (None)."""
 
     target: TargetId
     per_second: float | None
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackOffRequested:
-    """A target wants no request from this daemon until then."""
+    """A target accepts no request from this daemon before ``until_seconds``."""
 
     target: TargetId
     until_seconds: float
@@ -38,12 +38,12 @@
 
 
 class TargetNotices:
-    """The last word of each target, of each kind.
+    """The last notice of each kind from each target.
 
     Attributes:
-        limits: Requests a second that targets take from all daemons.
+        limits: Requests a second that targets accept from all daemons.
         leaving: Targets that are leaving.
-        backoffs: Targets that want no request from this daemon for a while.
+        backoffs: Targets that accept no request from this daemon for a while.
     """
 
     def __init__(self) -> None:
@@ -60,17 +60,18 @@
         is_sealed: bool = True,
         was_not_run: bool = False,
     ) -> list[NoticeChange]:
-        """Take what an answer to this daemon says; return what has changed by it.
+        """Apply the notice in a response to this daemon; return what it changed.
 
         Args:
-            start: Who answered.
-            notice: What it says.
-            sent_seconds: When its request was sent.
+            start: The target start that responded.
+            notice: The notice.
+            sent_seconds: When the request was sent.
             now_seconds: The present time.
-            is_sealed: The target vouches for the answer. Another one may be spoilt, so
-                it ends no limit.
-            was_not_run: The target says that it didn't run the request. An answer that
-                neither is sealed nor says so takes no target out for good.
+            is_sealed: Whether the response carries the target's seal. One without it
+                may be corrupted, so it ends no limit.
+            was_not_run: Whether the target states that it did not run the request. A
+                response with neither this nor a seal does not mark a target as leaving,
+                which would be permanent.
         """
         target = start.target
         changes: list[NoticeChange] = []
@@ -91,6 +92,6 @@
         return changes
 
     def keep(self, targets: Collection[TargetId], now_seconds: float) -> None:
-        """Forget what targets that are not among these have said, where it is over."""
+        """Drop other targets' limits, and those of their back-offs that are over."""
         self.limits.keep(targets)
         self.backoffs.keep(targets, now_seconds)
--- a/lycheepost/decide/ratelimits.py
+++ b/lycheepost/decide/ratelimits.py
@@ -1,8 +1,9 @@
-"""Which targets limit their requests, as far as this daemon has heard.
+"""Rate limits that targets have set in their responses.
 
-The load: a target in need names in its answers how many requests a second it takes
-from all daemons together, until an answer names none. Answers overtake each other and
-daemons hear at different moments, so each word counts by when the target said it.
+An overloaded target states in its responses how many requests a second it accepts from
+all daemons together, until a response states no limit. Responses may arrive out of
+order and daemons learn of limits at different times, so reports are ordered by the time
+at which the target made them.
 """
 
 from collections.abc import Collection
@@ -11,18 +12,18 @@
 from lycheepost.core.ids import TargetId
 
 REPORT_END_SECONDS = 5.0
-"""How long peers are told that a limit has ended. One that misses it hears it with its
-own next answer."""
+"""How long the end of a limit is sent to peers. A peer that misses it learns of it from
+the target's next response."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedLimit:
-    """What a target said of its limit.
+    """A limit, or the end of one, as reported by a target.
 
     Attributes:
-        per_second: Requests a second from all daemons; None once it names no limit.
-        reported_seconds: When it said so, on the clock of this daemon.
-        is_own: It said so to this daemon.
+        per_second: Requests a second from all daemons; None if the limit has ended.
+        reported_seconds: When the target reported it, on the clock of this daemon.
+        is_own: Whether the target reported it to this daemon, not to a peer.
     """
 
     per_second: float | None
@@ -36,13 +37,13 @@
 
 
 class TargetLimits:
-    """The last word of each target that has named a limit."""
+    """The last report of each target that has set a limit."""
 
     def __init__(self) -> None:
         self._reported: dict[TargetId, ReportedLimit] = {}
 
     def in_force(self) -> dict[TargetId, float]:
-        """Return the limits of all targets that name one, in requests a second."""
+        """Return the limits in force by target, in requests a second."""
         return {
             target: reported.per_second
             for target, reported in self._reported.items()
@@ -61,14 +62,14 @@
         sent_seconds: float,
         now_seconds: float,
     ) -> bool:
-        """Take what an answer to this daemon says.
+        """Apply the limit in a response to this daemon.
 
-        An answer that names no limit ends one only if its request was sent after the
-        limit was heard: an earlier one may have been answered before that.
+        A response without a limit ends the limit only if its request was sent after the
+        limit arrived. Otherwise the target may have responded before it set the limit.
 
         Args:
-            target: Who answered.
-            per_second: The limit; None where the answer names none.
+            target: The target that responded.
+            per_second: The limit; None if the response states none.
             sent_seconds: When its request was sent.
             now_seconds: The present time.
 
@@ -86,7 +87,7 @@
         return before is None or before.per_second != per_second
 
     def note_peer_report(self, target: TargetId, reported: ReportedLimit) -> bool:
-        """Take what a peer heard; return whether the limit has changed."""
+        """Apply a peer's report; return whether the limit has changed."""
         before = self._reported.get(target)
         if before is None and reported.per_second is None:
             return False
@@ -96,9 +97,10 @@
         return before is None or before.per_second != reported.per_second
 
     def own(self, now_seconds: float) -> dict[TargetId, ReportedLimit]:
-        """Return what targets said to this daemon, for the peers.
+        """Return what targets reported to this daemon, to be sent to the peers.
 
-        What a peer told isn't told on, and the end of a limit only for a while.
+        Reports of peers are not forwarded, and the end of a limit is sent only for
+        ``REPORT_END_SECONDS``.
         """
         return {
             target: reported
@@ -107,6 +109,6 @@
         }
 
     def keep(self, targets: Collection[TargetId]) -> None:
-        """Forget targets that are not among these."""
+        """Drop all targets except these."""
         for target in self._reported.keys() - set(targets):
             del self._reported[target]
--- a/lycheepost/decide/requestpacer.py
+++ b/lycheepost/decide/requestpacer.py
@@ -1,34 +1,34 @@
-"""How often one daemon may send to a target that limits its requests.
+"""Pacing of one daemon's requests to a target that limits its request rate.
 
-The load: a target in need takes one request a second, and ten daemons send to it. Each
-of them by itself would send it one a second. So the limit is divided: each daemon sends
-one in ten seconds, at moments that are drawn at random and so spread over all daemons.
-Dividing needs no word from the others but how many there are, so the target is spared
-also while daemons don't hear each other.
+If an overloaded target accepts one request a second and ten daemons send to it, each of
+them would send one a second. So the limit is divided: each daemon sends one request in
+ten seconds, at random offsets that spread the daemons over time. Dividing requires only
+the number of daemons, so the limit also holds while daemons can't reach each other.
 """
 
 import random
 from dataclasses import dataclass
 
 MIN_RATE_PER_SECOND = 0.2
-"""A limit below this counts as this: only an answer tells that it has ended."""
+"""Lower bound of a limit: only a response can report that the limit has ended, so
+requests must continue."""
 
 INITIAL_PAUSE_SECONDS = 2.0
-"""Pause once a target begins to name a limit. What it got in the seconds before, from
-daemons that had not heard it, is mostly beyond the limit already."""
+"""Pause after a target sets a limit. What it got in the seconds before, from daemons
+that did not know the limit yet, mostly exceeds the limit already."""
 
 SLOT_EXPIRY_SECONDS = 2.0
-"""How long a moment that was left unused holds."""
+"""How long an unused send time stays valid."""
 
 
 @dataclass(slots=True)
 class RequestPacer:
-    """The moments at which one daemon may send to one target.
+    """The times at which one daemon may send to one target.
 
     Attributes:
         per_second: The limit of the target, for all daemons.
         n_daemons: Daemons that the limit is divided among.
-        next_seconds: When the next request may go.
+        next_seconds: When the next request may be sent.
     """
 
     per_second: float
@@ -41,7 +41,7 @@
         return self.n_daemons / max(MIN_RATE_PER_SECOND, self.per_second)
 
     def wait_seconds(self, now_seconds: float, n_ahead: int = 0) -> float:
-        """Return the time until a request may go behind ``n_ahead`` others."""
+        """Return the time until a request behind ``n_ahead`` others may be sent."""
         wait_seconds = max(0.0, self.next_seconds - now_seconds)
         return wait_seconds + n_ahead * self.interval_seconds
 
@@ -50,7 +50,7 @@
         self.next_seconds = now_seconds + self.interval_seconds
 
     def change(self, per_second: float, n_daemons: int, now_seconds: float) -> None:
-        """Follow another limit or number of daemons; the wait is scaled with it."""
+        """Change the limit or the number of daemons, and scale the remaining wait."""
         before_seconds = self.interval_seconds
         self.per_second = per_second
         self.n_daemons = n_daemons
@@ -59,10 +59,10 @@
         self.next_seconds = now_seconds + wait_seconds * scale
 
     def redraw_expired(self, now_seconds: float, rng: random.Random) -> None:
-        """Draw a new moment where the last one was left unused for too long.
+        """Draw a new send time if the last one has been unused for too long.
 
-        The load: a quiet minute, then many requests at once. Every daemon would have a
-        request to send, and all of them would send it at the same moment.
+        When many requests arrive after a quiet minute, every daemon would otherwise
+        send its request at the same time.
         """
         if now_seconds - self.next_seconds > SLOT_EXPIRY_SECONDS:
             self.next_seconds = now_seconds + rng.random() * self.interval_seconds
@@ -74,13 +74,13 @@
     now_seconds: float,
     rng: random.Random,
 ) -> RequestPacer:
-    """Return the pace at a target that has just named a limit.
+    """Return the pacer of a target that has just set a limit.
 
     Args:
         per_second: The limit, for all daemons.
         n_daemons: Daemons that it is divided among.
         now_seconds: The present time.
-        rng: Draws the first moment.
+        rng: Draws the first send time.
     """
     pacer = RequestPacer(per_second, n_daemons, now_seconds + INITIAL_PAUSE_SECONDS)
     pacer.next_seconds += rng.random() * pacer.interval_seconds
--- a/lycheepost/decide/sharedlevel.py
+++ b/lycheepost/decide/sharedlevel.py
@@ -1,4 +1,4 @@
-"""The part of a prompt by which its cached copies are placed."""
+"""The prefix level of a prompt by which its cached copies are placed."""
 
 from collections.abc import Sequence
 
@@ -9,8 +9,8 @@
 def shared_digest(levels: Sequence[PrefixLevel]) -> PrefixDigest | None:
     """Return the deepest level that other prompts may share; None without levels.
 
-    The last level ends with the request's own text, which hardly ever comes again; the
-    one above is the album or the batch of letters.
+    The last level ends with the request's own text, which is rarely repeated. The level
+    above it ends with the album or the batch of letters.
     """
     if not levels:
         return None
--- a/lycheepost/decide/shares.py
+++ b/lycheepost/decide/shares.py
@@ -1,12 +1,11 @@
-"""Which customers ask for no more than their fair share.
-
-The failure: under overload a small customer that asks for little is refused
-together with the large ones that cause the overload. It shows as refusals to
-customers whose demand is far below an equal part. Demand is followed per
-customer over some seconds, and the measured capacity is divided max-min
-fairly: nobody gets more than it asks for, and what the modest leave is divided
-among the others. A customer whose demand lies below the level of that division
-is inside its share, and its requests are not refused for others' load.
+"""Max-min fair shares of customers under overload.
+
+Without them a small customer whose demand is far below an equal share is refused
+together with the large customers that cause the overload. Demand is averaged per
+customer over some seconds, and the measured capacity is divided max-min fairly: no
+customer gets more than it requests, and what small customers leave is divided among the
+others. A customer whose demand is below the level of this division is within its share,
+and its requests are not refused because of other customers' load.
 """
 
 import math
@@ -15,29 +14,28 @@
 from lycheepost.core.ids import CustomerId
 
 DEMAND_TIME_CONSTANT_SECONDS = 8.0
-"""Time constant of the demand: a daemon sees a request or two a second of a
-small customer, and some ten make the estimate steady; longer ones let a large
-customer's surge pass as modest for as long."""
+"""A daemon gets one or two requests a second from a small customer, and the estimate
+needs some ten to be stable. With a longer time constant a large customer's surge counts
+as within its share for longer."""
 
 DIVISION_INTERVAL_SECONDS = 0.25
-"""Time between two divisions; sorting 990 customers costs half a millisecond."""
+"""Time between two divisions. Sorting 990 customers takes half a millisecond."""
 
 DEVIATIONS_OVER_LEVEL = 1.0
-"""Standard deviations by which a customer's demand must be over the level. A daemon
-of seven sees some ten requests of a small customer, and three more or less by chance,
-for which a modest customer is not to be refused."""
+"""Standard deviations by which a customer's demand must exceed the level. One of seven
+daemons gets some ten requests of a small customer, give or take three, and a small
+customer must not be refused because of this deviation."""
 
 MIN_DEMAND_SECONDS = 1e-3
-"""Customers whose demand has faded below this of a second are dropped."""
+"""Customers whose decayed demand is below this are dropped."""
 
 
 @dataclass(slots=True)
 class _Demand:
-    """What one customer asked for of late; older requests count less.
+    """The recent demand of one customer, with exponential decay.
 
     Attributes:
         cost_seconds: Engine time.
-        n_requests: Requests.
     """
 
     cost_seconds: float = 0.0
@@ -53,9 +51,9 @@
             self.at_seconds = now_seconds
 
     def lower_bound_cost_seconds(self) -> float:
-        """Return the engine time without what may be chance.
+        """Return the engine time minus its likely random deviation.
 
-        Of ``n`` requests in a span the square root of ``n`` is their deviation.
+        The deviation of ``n`` requests in a span is the square root of ``n``.
         """
         if self.n_requests <= 0.0:
             return 0.0
@@ -73,7 +71,7 @@
         self._divided_seconds = -math.inf
 
     def set_weights(self, weights: dict[CustomerId, float]) -> None:
-        """Set the customers' weights; 1 when missing."""
+        """Set the customers' weights; the default is 1."""
         self._weights = weights
 
     def _weight(self, customer: CustomerId) -> float:
@@ -82,14 +80,14 @@
     def observe(
         self, customer: CustomerId, cost_seconds: float, now_seconds: float
     ) -> None:
-        """Count a request that arrived, whether or not it is taken."""
+        """Count a request that arrived, whether or not it is admitted."""
         demand = self._demands.setdefault(customer, _Demand(at_seconds=now_seconds))
         demand.decay(now_seconds)
         demand.cost_seconds += cost_seconds
         demand.n_requests += 1.0
 
     def divide(self, capacity: float, now_seconds: float) -> None:
-        """Divide ``capacity`` (engine seconds a second) when it is due."""
+        """Divide ``capacity`` (engine seconds per second) if a division is due."""
         if now_seconds - self._divided_seconds < DIVISION_INTERVAL_SECONDS:
             return
         self._divided_seconds = now_seconds
@@ -119,7 +117,7 @@
         return math.inf
 
     def is_within_share(self, customer: CustomerId) -> bool:
-        """Tell whether the customer asks for no more than its fair share."""
+        """Return whether the customer's demand is within its fair share."""
         demand = self._demands.get(customer)
         if demand is None:
             return True
--- a/lycheepost/decide/silence.py
+++ b/lycheepost/decide/silence.py
@@ -1,12 +1,11 @@
-"""How long a target may say nothing before its request goes elsewhere.
-
-The failure: a target takes a request and falls silent, because it hangs, is gone
-without a word, or its connection carries nothing any more. It shows as callers that
-wait until they leave. But a busy engine is silent too: it reads prompts between the
-tokens of its streams, and whoever takes streams away from it has them read once more
-by the others, which are as busy. So a stream is given up only well after the pause
-that is on time, when its answer is late in any case, and well before its caller
-leaves.
+"""Timeouts after which a request moves to another target.
+
+A target may accept a request and then send nothing, because it hangs, has crashed, or
+its connection is dead. Without a timeout its callers wait until they disconnect. But a
+busy engine pauses too, since it prefills prompts between the tokens of its streams.
+Moving its streams makes other engines, which are as busy, prefill the prompts again. So
+the timeout is well above the gap objective, when the response is late anyway, and well
+below the time at which the caller disconnects.
 """
 
 from lycheepost.core.routing import Route, RouteKind
@@ -15,31 +14,31 @@
 MIN_CALLER_TIMEOUT_SECONDS = 2.0
 CALLER_TIMEOUT_OBJECTIVES = 4.0
 CALLER_TIMEOUT_GAPS = 8.0
-"""A caller leaves a stream that stays silent for the longest of these: two
-seconds, four objectives, eight times the pause that is on time."""
+"""A caller disconnects from a silent stream after the longest of these: two seconds,
+four first-token objectives, eight gap objectives."""
 
 FIRST_ATTEMPT_SHARE = 0.45
-"""Part of the remaining time that a first try of a repeatable request may take
-without an answer. It leaves a second target as long as the first had."""
+"""Fraction of the remaining time that one attempt of a repeatable request may wait for
+its response. It leaves a second target as much time as the first had."""
 
 MIN_PLAIN_TIMEOUT_SECONDS = 0.2
-"""A plain service's answer is not late before this: ten times its usual work."""
+"""Minimum timeout of a plain service: ten times its usual processing time."""
 
 PLAIN_TIMEOUT_OBJECTIVES = 3.0
-"""Silence of so many objectives is far outside of what load explains."""
+"""A wait of this many objectives can't be explained by load."""
 
 STREAM_TIMEOUT_SHARE = 0.6
-"""Part of the caller's patience with a silent stream after which another target gets
-it. The rest is four times what a loaded engine takes to its first token."""
+"""Fraction of the caller's stream timeout after which another target is tried. The rest
+is four times what a loaded engine takes to its first token."""
 
 IDLE_TIMEOUT_GAPS = 2.5
-"""Longest pauses that are on time, between two events. Under full load engines pause
-for 0.4 to 0.6 s where 0.5 s are on time; with a limit of 0.45 s a fleet of 45 engines
-gave up 635 runs of 4,276 and read their prompts again."""
+"""Idle timeout between two events, in gap objectives. Under full load engines pause for
+0.4 to 0.6 s with an objective of 0.5 s; with a limit of 0.45 s a fleet of 45 engines
+abandoned 635 runs of 4,276 and prefilled their prompts again."""
 
 
 def caller_stream_timeout_seconds(route: Route) -> float:
-    """Return how long a caller waits for the next part of a stream."""
+    """Return how long a caller waits for the next event of a stream."""
     return max(
         MIN_CALLER_TIMEOUT_SECONDS,
         CALLER_TIMEOUT_OBJECTIVES * route.objective_seconds,
@@ -50,10 +49,10 @@
 def first_byte_timeout_seconds(
     route: Route, attempts: Sends, remaining_seconds: float
 ) -> float:
-    """Return how long to wait for the first part of an answer.
+    """Return how long to wait for the first byte of a response.
 
-    A request that may run again goes elsewhere while there is time for it; any
-    other has no use for an earlier end.
+    A request that may run again moves to another target while there is time for it. Any
+    other request gains nothing from an earlier timeout.
     """
     may_repeat = route.is_repeatable and attempts.n_runs + 1 < route.max_runs
     if not may_repeat:
@@ -71,7 +70,7 @@
 def idle_timeout_seconds(route: Route, attempts: Sends) -> float | None:
     """Return how long a stream may pause before another target continues it.
 
-    None where nobody else may continue, so that an earlier end would help nobody.
+    None if no other target may continue the stream.
     """
     may_continue = route.is_resumable and attempts.n_runs + 1 < route.max_runs
     return IDLE_TIMEOUT_GAPS * route.gap_seconds or None if may_continue else None
--- a/lycheepost/decide/tokenbucket.py
+++ b/lycheepost/decide/tokenbucket.py
@@ -1,9 +1,10 @@
 """A token bucket that may be overdrawn.
 
-The load: a customer asks for five times its quota, in prompts of a hundred and of ten
-thousand tokens. Where a request must fit into what the bucket holds, the short ones
-keep it nearly empty and the long ones never get in. So a request passes whenever the
-bucket isn't empty, whatever its size, and the next one waits until the debt is paid.
+A customer may request five times its quota, in prompts of a hundred and of ten thousand
+tokens. If a request had to fit into the bucket's level, the short ones would keep the
+bucket nearly empty and the long ones would never be admitted. So a request of any size
+is admitted while the bucket isn't empty, and the next one waits until the debt is
+refilled.
 """
 
 from dataclasses import dataclass
@@ -14,10 +15,10 @@
     """Units that may be spent now.
 
     Attributes:
-        rate_per_second: Units that come back each second.
-        capacity: Most units that are kept.
-        level: Units at ``at_seconds``; a debt below 0.
-        at_seconds: When the level was last brought up to date.
+        rate_per_second: Units refilled per second.
+        capacity: Maximum level.
+        level: Units at ``at_seconds``; negative if overdrawn.
+        at_seconds: When the level was last updated.
     """
 
     rate_per_second: float
@@ -26,7 +27,7 @@
     at_seconds: float
 
     def refill(self, now_seconds: float) -> None:
-        """Add what has come back since."""
+        """Add the units refilled since the last update."""
         elapsed_seconds = now_seconds - self.at_seconds
         if elapsed_seconds <= 0.0:
             return
@@ -35,11 +36,11 @@
         self.level = min(self.capacity, refilled)
 
     def add(self, units: float) -> None:
-        """Add units, or take them where ``units`` is negative."""
+        """Add units, or subtract them if ``units`` is negative."""
         self.level = min(self.capacity, self.level + units)
 
     def set_terms(self, rate_per_second: float, capacity: float) -> None:
-        """Follow a change; what a larger one holds more can be spent at once."""
+        """Change rate and capacity; added capacity can be spent at once."""
         self.level = min(capacity, self.level + max(0.0, capacity - self.capacity))
         self.rate_per_second = rate_per_second
         self.capacity = capacity
