--- a/lycheepost/decide/attempts.py
+++ b/lycheepost/decide/attempts.py
@@ -1,9 +1,8 @@
-"""What follows when a target did not serve a forwarded request.
+"""Retry decisions for forwarded requests that a target did not serve.
 
-Whether a request may be sent again rests on one question: may it have run? A
-request that certainly did not run goes to another target at no risk. One that
-may have run goes on only if its route says that it may be repeated, and only to
-as many targets as the route allows.
+Whether a request may be sent again depends on whether it may have run. A request that
+certainly did not run can safely go to another target. One that may have run is retried
+only if its route allows repetition, and only on as many targets as the route allows.
 """
 
 from dataclasses import dataclass
@@ -12,59 +11,59 @@
 from lycheepost.core.routing import Route
 
 MAX_ATTEMPTS = 5
-"""Sends of one request, whatever they came to. Each further one finds the fleet in
-the same state a few milliseconds later; its caller is served better by a refusal
-that tells when to come back."""
+"""Attempts of one request, whatever their outcome. A further attempt a few milliseconds
+later would find the fleet in the same state, so a refusal with a retry time serves the
+caller better."""
 
 MIN_ATTEMPT_SECONDS = 0.03
-"""With less time left no target can answer: a round trip and the shortest work."""
+"""Time of a round trip and the shortest processing; no target can respond in less."""
 
 
 class AttemptEnd(Enum):
-    """How one send ended without an answer for the caller."""
+    """How one attempt ended without a response for the caller."""
 
     NOT_SENT = "not_sent"
     """No byte reached the target."""
     NOT_RUN = "not_run"
-    """The target said that it did not run it."""
+    """The target stated that it did not run the request."""
     LOST = "lost"
-    """Sent, and no usable answer."""
+    """Sent, but no usable response came."""
     BROKEN = "broken"
-    """Part of the answer came, none of it went to the caller."""
+    """Part of the response came; none of it was sent to the caller."""
     CUT = "cut"
-    """Part of the answer went to the caller."""
+    """Part of the response was sent to the caller."""
     FAILED = "failed"
-    """The target ran it and answered with its own failure."""
+    """The target ran the request and responded with its own error."""
 
 
 class Step(Enum):
-    """What to do next."""
+    """What to do after an attempt."""
 
     TRY_AGAIN = "try_again"
     REFUSE = "refuse"
-    """Answer that the request did not run."""
+    """Respond that the request did not run."""
     GIVE_UP = "give_up"
-    """Answer that it is not known whether the request ran."""
+    """Respond that it is unknown whether the request ran."""
     PASS_ON = "pass_on"
-    """Hand the target's own failure to the caller."""
+    """Forward the target's own error to the caller."""
     CUT_OFF = "cut_off"
-    """End the caller's answer so that it cannot be taken for whole."""
+    """Abort the caller's response, so that it is recognizably incomplete."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sends:
-    """What has become of a request so far.
+    """Counts of a request's attempts so far.
 
     Attributes:
-        n_sends: Sends, whatever they came to.
-        n_runs: Sends that may have run.
+        n_sends: Attempts, whatever their outcome.
+        n_runs: Attempts that may have run.
     """
 
     n_sends: int = 0
     n_runs: int = 0
 
     def add(self, end: AttemptEnd) -> "Sends":
-        """Return the counts after one more send."""
+        """Return the counts after one more attempt."""
         has_run = end not in (AttemptEnd.NOT_SENT, AttemptEnd.NOT_RUN)
         return Sends(self.n_sends + 1, self.n_runs + has_run)
 
@@ -72,13 +71,13 @@
 def next_step(
     route: Route, attempts: Sends, end: AttemptEnd, remaining_seconds: float
 ) -> Step:
-    """Return what follows a send that ended in ``end``.
+    """Return what to do after an attempt that ended in ``end``.
 
     Args:
-        route: Says what may be repeated, and how often.
-        attempts: Counts with this send.
+        route: The route, which limits repetition.
+        attempts: Counts including this attempt.
         end: How it ended.
-        remaining_seconds: Time until the caller leaves.
+        remaining_seconds: Time until the caller's timeout.
     """
     has_time = (
         remaining_seconds >= MIN_ATTEMPT_SECONDS and attempts.n_sends < MAX_ATTEMPTS
@@ -90,7 +89,7 @@
 
 
 def last_step(attempts: Sends, end: AttemptEnd) -> Step:
-    """Return how a request ends when nothing more can be tried."""
+    """Return how a request ends when no further attempt is possible."""
     match end:
         case AttemptEnd.FAILED:
             return Step.PASS_ON
--- a/lycheepost/decide/backoff.py
+++ b/lycheepost/decide/backoff.py
@@ -1,8 +1,8 @@
-"""Until when targets want no request from this daemon.
+"""Back-offs that targets have requested from this daemon.
 
-The load: a target that has no room turns a daemon away and names the time after which
-it may ask again. Each request that is sent before then is a try lost, and one more
-thing to answer for a target in need.
+A target without capacity rejects a request and states the time after which the daemon
+may send again. A request sent before then wastes an attempt and adds load to an
+overloaded target.
 """
 
 from collections.abc import Collection
@@ -10,18 +10,19 @@
 from lycheepost.core.ids import TargetId
 
 MAX_BACK_OFF_SECONDS = 300.0
-"""A longer time counts as this: one that was written wrongly must not keep a target
-from this daemon for good."""
+"""Upper bound of a back-off, so that an erroneous value does not exclude a target
+forever."""
 
 
 class BackOffs:
-    """The times that targets have asked this daemon to keep."""
+    """The back-offs that targets have requested from this daemon."""
 
     def __init__(self) -> None:
         self._until_seconds: dict[TargetId, float] = {}
 
     def note(self, target: TargetId, for_seconds: float, now_seconds: float) -> bool:
-        """Take a time that a target asks for; return whether it ends later now."""
+        """Record a requested back-off; return whether the target's back-off got
+        longer."""
         until_seconds = now_seconds + min(MAX_BACK_OFF_SECONDS, for_seconds)
         if until_seconds <= max(now_seconds, self.until_seconds(target)):
             return False
@@ -33,7 +34,7 @@
         return self._until_seconds.get(target, float("-inf"))
 
     def in_force(self, now_seconds: float) -> dict[TargetId, float]:
-        """Return the seconds left by target."""
+        """Return the remaining seconds by target."""
         return {
             target: until_seconds - now_seconds
             for target, until_seconds in self._until_seconds.items()
@@ -41,9 +42,9 @@
         }
 
     def keep(self, targets: Collection[TargetId], now_seconds: float) -> None:
-        """Forget times that are over, of targets that are not among these.
+        """Drop back-offs that are over, of targets that are not among these.
 
-        A target whose registration lapses for a moment has still asked.
+        A back-off outlives a short lapse of its target's registration.
         """
         in_force = self.in_force(now_seconds)
         for target in self._until_seconds.keys() - set(targets) - in_force.keys():
--- a/lycheepost/decide/leaving.py
+++ b/lycheepost/decide/leaving.py
@@ -1,9 +1,9 @@
-"""Which targets have said in an answer that they are leaving.
+"""Targets that have announced in a response that they are leaving.
 
-The load: the store is away while a target leaves, so that its registration can't tell.
-Its answers do, and the target ends soon after the store is back. The word holds for one
-start of the target and has no end. It outlives the registration, which may lapse in an
-outage and come back unchanged.
+If the store is unavailable while a target leaves, its registration can't show this, but
+its responses do, and the target exits soon after the store recovers. The announcement
+holds for one start of the target and does not expire. It outlives the registration,
+which may lapse in an outage and return unchanged.
 """
 
 from collections import OrderedDict
@@ -13,7 +13,7 @@
 from lycheepost.core.starts import TargetStart
 
 MAX_TARGETS = 20_000
-"""Targets that are remembered, as many as ``state.targetstarts`` does."""
+"""Targets that are remembered, the same number as in ``state.targetstarts``."""
 
 
 class LeavingTargets:
@@ -23,7 +23,7 @@
         self._starts: OrderedDict[TargetId, TargetStart] = OrderedDict()
 
     def note(self, start: TargetStart) -> bool:
-        """Take that a start of a target is leaving; return whether that is news."""
+        """Record that a start of a target is leaving; return whether it was unknown."""
         if self.is_leaving(start):
             return False
         self._starts[start.target] = start
@@ -32,10 +32,10 @@
         return True
 
     def is_leaving(self, start: TargetStart) -> bool:
-        """Tell whether this start, or one after it, has said that it leaves."""
+        """Return whether this start, or a later one, has announced that it leaves."""
         known = self._starts.get(start.target)
         return known is not None and not start.is_newer_than(known)
 
     def among(self, targets: Collection[TargetId]) -> list[TargetStart]:
-        """Return the starts of these targets that have said so."""
+        """Return the starts of these targets that are leaving."""
         return [self._starts[name] for name in targets if name in self._starts]
--- a/lycheepost/decide/quarantine.py
+++ b/lycheepost/decide/quarantine.py
@@ -1,11 +1,10 @@
-"""Requests that kill targets.
-
-The failure: one request crashes each target that runs it, and its caller sends
-it again. It shows as targets lost one after another while the same fingerprint
-ran on them. A fingerprint that was running on a lost target becomes a suspect;
-a suspect runs on a target without other suspects, so that the second loss
-convicts it and not the innocent requests that died beside it the first time. A
-convicted fingerprint is refused everywhere for a while.
+"""Quarantine of requests that crash targets.
+
+A request may crash each target that runs it while its caller sends it again, so that
+targets are lost one after another. A fingerprint that was running on a lost target
+becomes a suspect. A suspect runs on a target without other suspects, so that a second
+loss identifies it and not the unrelated requests that were lost with it the first time.
+A quarantined fingerprint is refused by all daemons for a while.
 """
 
 from dataclasses import dataclass
@@ -13,28 +12,28 @@
 from lycheepost.core.ids import BodyFingerprint, TargetId
 
 MAX_SUSPECTS = 10_000
-"""Bounds memory when whole availability zones fail: the oldest are dropped."""
+"""Bounds memory when whole availability zones fail; the oldest entries are dropped."""
 
 
 RECENT_LOSS_SECONDS = 3.0
-"""Fingerprints whose losses are no older are tried again at about the same time."""
+"""Fingerprints lost within this time are retried at about the same time."""
 
 MAX_RECENT_LOSSES = 64
-"""Fingerprints that are put in order: what one target runs. Where more are lost, the
-newest are."""
+"""Fingerprints that are ranked, as many as one target runs. If more are lost, only the
+newest are ranked."""
 
 PEER_SUSPECT_SECONDS = 2.0
-"""A target to which a peer sent a suspect is avoided by ours for this long: a
-request that kills its target has mostly done so by then."""
+"""How long this daemon's suspects avoid a target to which a peer sent a suspect. A
+request that crashes its target has mostly done so by then."""
 
 
 @dataclass(frozen=True, slots=True)
 class LossReport:
-    """A fingerprint was running on a target that was lost; for peers.
+    """Report to peers that a fingerprint was running on a lost target.
 
     Attributes:
-        started_seconds: When the run that was lost was sent.
-        lost_seconds: When its loss was seen.
+        started_seconds: When the lost run was sent.
+        lost_seconds: When the loss was detected.
     """
 
     fingerprint: BodyFingerprint
@@ -55,8 +54,8 @@
     """Losses counted per fingerprint.
 
     Args:
-        losses: Losses that quarantine a fingerprint.
-        keep_seconds: How long a loss and a quarantine are remembered.
+        losses: Number of losses after which a fingerprint is quarantined.
+        keep_seconds: Lifetime of a recorded loss and of a quarantine.
     """
 
     def __init__(self, losses: int, keep_seconds: float) -> None:
@@ -65,10 +64,10 @@
         self._counts: dict[BodyFingerprint, _Suspect] = {}
         self._until: dict[BodyFingerprint, float] = {}
         self._lost_seconds: dict[BodyFingerprint, float] = {}
-        """Last losses, in their order; one that was acquitted meanwhile stays."""
+        """Recent losses, oldest first, including suspects cleared since."""
 
     def add(self, fingerprint: BodyFingerprint, until_seconds: float) -> None:
-        """Quarantine a fingerprint, as decided here or told by a peer."""
+        """Quarantine a fingerprint, as decided here or reported by a peer."""
         self._until[fingerprint] = max(
             until_seconds, self._until.get(fingerprint, until_seconds)
         )
@@ -76,7 +75,7 @@
     def remaining_seconds(
         self, fingerprint: BodyFingerprint, now_seconds: float
     ) -> float:
-        """Return how long the fingerprint stays refused; 0 when it is free."""
+        """Return how long the fingerprint stays quarantined; 0 if it is not."""
         until_seconds = self._until.get(fingerprint)
         if until_seconds is None:
             return 0.0
@@ -86,7 +85,7 @@
         return until_seconds - now_seconds
 
     def is_suspect(self, fingerprint: BodyFingerprint, now_seconds: float) -> bool:
-        """Tell whether it was running on a target that was lost lately."""
+        """Return whether it was running on a recently lost target."""
         entry = self._counts.get(fingerprint)
         if entry is None:
             return False
@@ -101,20 +100,19 @@
         started_seconds: float,
         lost_seconds: float,
     ) -> LossReport | None:
-        """Count a loss, seen here or told by a peer.
+        """Count a loss that was detected here or reported by a peer.
 
-        A run that was sent before the last counted loss tells nothing new: many
-        callers may send the same body, and a rack that fails takes several
-        targets at once. Counting each of those runs would quarantine whatever
-        is most popular.
+        A run that was sent before the last counted loss does not count: many callers
+        may send the same body, and several targets are lost together when a rack fails.
+        Counting each of those runs would quarantine the most popular requests.
 
         Args:
-            fingerprint: What was running.
+            fingerprint: The fingerprint that was running.
             started_seconds: When this run of it was sent.
-            lost_seconds: When its target was found lost.
+            lost_seconds: When the loss of its target was detected.
 
         Returns:
-            The loss to tell the peers of; None when it does not count.
+            The loss to report to the peers; None if it does not count.
         """
         count = 1
         if self.is_suspect(fingerprint, lost_seconds):
@@ -141,13 +139,13 @@
             del self._lost_seconds[next(iter(self._lost_seconds))]
 
     def rank_of(self, fingerprint: BodyFingerprint, now_seconds: float) -> int | None:
-        """Return the place of a suspect among those that were lost lately.
+        """Return the rank of a suspect among the recent losses.
 
-        Daemons that have heard of the same losses give the same places, whoever of the
-        suspects they try.
+        Daemons that know the same losses compute the same ranks, regardless of which
+        suspects they retry.
 
         Returns:
-            Its place, from 0 on; None where no other was lost lately.
+            Its rank, from 0; None if no other fingerprint was lost recently.
         """
         oldest_seconds = now_seconds - RECENT_LOSS_SECONDS
         recent = sorted(
@@ -160,23 +158,23 @@
         return recent.index(fingerprint)
 
     def clear(self, fingerprint: BodyFingerprint) -> None:
-        """Acquit a suspect that ran to its end."""
+        """Clear a suspect that ran to completion."""
         if self._counts:
             self._counts.pop(fingerprint, None)
 
 
 class PeerSuspects:
-    """Targets on which other daemons try suspects just now.
+    """Targets on which other daemons currently run suspects.
 
-    Without it two daemons may send a killer and an innocent suspect to the same
-    target, which then convicts both.
+    Without it two daemons may send a request that crashes targets and an unrelated
+    suspect to the same target, whose loss would quarantine both.
     """
 
     def __init__(self) -> None:
         self._until: dict[TargetId, float] = {}
 
     def note(self, target: TargetId, now_seconds: float) -> None:
-        """Avoid a target for suspects of our own for a while."""
+        """Avoid a target for this daemon's own suspects for a while."""
         self._until[target] = now_seconds + PEER_SUSPECT_SECONDS
 
     def targets(self, now_seconds: float) -> frozenset[TargetId]:
--- a/lycheepost/decide/randomadmission.py
+++ b/lycheepost/decide/randomadmission.py
@@ -1,18 +1,17 @@
-"""Whose waiting request takes the room that several daemons see at a target.
+"""Randomized admission of waiting requests to slots that several daemons see.
 
-The failure: under load each daemon has requests waiting. When a target has read its
-prompts all daemons hear of it within milliseconds, and each sends it a request before
-it hears of the others'. It shows as targets with eighty thousand prompt tokens to read
-where six thousand are meant to wait: a second and more in which nobody can order those
-requests, send them elsewhere or refuse them, while their callers' objectives pass.
+Under load each daemon has requests waiting. When a target has prefilled its prompts,
+all daemons learn of it within milliseconds, and each sends it a request before it
+learns of the others'. The target then has eighty thousand prompt tokens queued instead
+of six thousand. For a second or more these requests can't be reordered, moved or
+refused while their callers' objectives pass.
 
-So each daemon that has requests waiting admits them at random, by itself and without a
-word: at a target with room for one more, each of ``k`` daemons may take it with a
-probability of 1/``k``. That is drawn anew as often as the daemons tell each other their
-load. Room that nobody drew stays free until then, which a target does not notice that
-has other prompts to read meanwhile.
+So each daemon with waiting requests draws at random, without communication: if a target
+has one free slot, each of ``k`` daemons takes it with probability 1/``k``. The draw is
+repeated whenever the daemons exchange their load. A slot that no daemon drew stays free
+until then, which costs nothing while the target has other prompts to prefill.
 
-Pure logic, but for the random numbers that are handed in.
+Pure logic, apart from the random number generator passed in.
 """
 
 import random
@@ -22,10 +21,10 @@
 
 
 class RandomAdmission:
-    """How many waiting requests may go from here to each target until the next draw.
+    """How many waiting requests one daemon may send to each target until the next draw.
 
     Args:
-        rng: Random numbers.
+        rng: Random number generator.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -33,12 +32,12 @@
         self._left: dict[TargetId, int] | None = None
 
     def draw(self, free_slots: Mapping[TargetId, float], n_daemons: int) -> None:
-        """Draw this daemon's part of the room that there is now.
+        """Draw this daemon's part of the free slots.
 
         Args:
-            free_slots: Requests that each target has room for.
-            n_daemons: Daemons with waiting requests, this one among them. One alone
-                takes all the room that it sees.
+            free_slots: Number of requests that each target can still take.
+            n_daemons: Daemons with waiting requests, including this one. A single
+                daemon takes all free slots.
         """
         if n_daemons <= 1:
             self._left = None
@@ -48,15 +47,15 @@
         }
 
     def _share(self, expected: float) -> int:
-        """Return a whole number that is ``expected`` in the mean."""
+        """Return a random integer with the mean ``expected``."""
         whole = int(expected)
         return whole + (self._rng.random() < expected - whole)
 
     def may_take(self, target: TargetId) -> bool:
-        """Tell whether a waiting request may go to a target now."""
+        """Return whether a waiting request may be sent to a target now."""
         return self._left is None or self._left.get(target, 0) > 0
 
     def note_taken(self, target: TargetId) -> None:
-        """Count a waiting request that went to a target."""
+        """Count a waiting request that was sent to a target."""
         if self._left is not None:
             self._left[target] = self._left.get(target, 0) - 1
--- a/lycheepost/decide/retry.py
+++ b/lycheepost/decide/retry.py
@@ -1,8 +1,8 @@
-"""A budget for second tries.
+"""Retry budget.
 
-When many targets fail at once, every request would be tried again and the rest
-of the fleet would get the load twice over, and fail too. In any ten seconds a group
-gets a few retries, and a share of one for each first try.
+When many targets fail at once, retrying every request would double the load on the rest
+of the fleet, which would fail too. In any ten seconds a target group gets a fixed
+number of retries plus a fraction of its first attempts.
 """
 
 import random
@@ -10,28 +10,28 @@
 from dataclasses import dataclass
 
 NO_OUTPUT_PAUSE_SECONDS = 0.1
-"""Longest pause of a request that had no output yet when its target was lost."""
+"""Longest pause of a request without output when its target was lost."""
 
 OUTPUT_PAUSE_SECONDS = (0.2, 0.35)
-"""Pause of a request that had begun to answer. Whatever killed the target has
-mostly been tried again and found out by then, so that an innocent request does
-not meet it a second time. A caller notices a gap of that length hardly, and only
-when an engine dies."""
+"""Pause of a request whose response had begun. By then the request that crashed the
+target has mostly been retried and quarantined, so that an unrelated request does not
+share a target with it again. Callers hardly notice a gap of this length, and it occurs
+only when an engine is lost."""
 
 SLOT_SECONDS = 0.5
-"""Counts are kept for so long together; the window is longer by one of them, so that
-no span of its length escapes."""
+"""Length of one slot of counts. The window is extended by one slot, so that the bound
+holds for every span of its length."""
 
 BURST_RETRIES = 64.0
-"""One lost target's worth of requests in flight may all be retried at once."""
+"""All requests in flight at one lost target may be retried at once."""
 
 
 def retry_pause_seconds(has_output: bool, rng: random.Random) -> float:
     """Return how long to wait before a request is placed again after a loss.
 
-    The load is the whole work of a lost target, which comes back in one moment.
-    The pause spreads it over the rest of the fleet, and keeps daemons that do
-    not see each other's placements from sending two suspects to one target.
+    All requests of a lost target are retried at the same time. The pause spreads them
+    over the rest of the fleet, and keeps daemons that don't know each other's
+    placements from sending two suspects to one target.
     """
     if has_output:
         return rng.uniform(*OUTPUT_PAUSE_SECONDS)
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class _Slot:
-    """Counts of a short span of time."""
+    """Counts of first attempts and retries in a short span of time."""
 
     started_seconds: float
     n_requests: int = 0
@@ -49,12 +49,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryTerms:
-    """What may be tried again.
+    """Limits on retries.
 
     Attributes:
-        share: Retries allowed for each request of the window.
-        burst: Retries allowed beyond that.
-        window_seconds: In any span of this length.
+        share: Retries allowed per request in the window.
+        burst: Retries allowed in addition.
+        window_seconds: Length of the window; the limits hold for any span of it.
     """
 
     share: float
@@ -63,14 +63,14 @@
 
 
 class RetryBudget:
-    """Retries still allowed, in any span as long as the window.
+    """Retry budget over a sliding window.
 
-    Counted exactly, not by tokens that trickle in: a target that is lost takes tens
-    of requests with it in one moment, and those may all be tried again if little
-    was retried before, while the sum over any window stays inside the bound.
+    It counts exactly instead of refilling a token bucket: a lost target interrupts tens
+    of requests at once, and all of them may be retried if few were retried before,
+    while the sum over any window stays within the bound.
 
     Args:
-        terms: What is allowed.
+        terms: The limits on retries.
     """
 
     def __init__(self, terms: RetryTerms) -> None:
@@ -78,15 +78,15 @@
         self._slots: deque[_Slot] = deque()
 
     def set_terms(self, terms: RetryTerms) -> None:
-        """Follow a change of what is allowed, or of this daemon's part of it."""
+        """Change the limits, or this daemon's share of them."""
         self._terms = terms
 
     def note_first_attempt(self, now_seconds: float) -> None:
-        """Count a first try."""
+        """Count a first attempt."""
         self._slot(now_seconds).n_requests += 1
 
     def spend(self, now_seconds: float) -> bool:
-        """Take one retry; False when the budget is spent."""
+        """Take one retry; return False if the budget is exhausted."""
         slot = self._slot(now_seconds)
         n_requests = sum(item.n_requests for item in self._slots)
         n_retries = sum(item.n_retries for item in self._slots)
@@ -96,7 +96,7 @@
         return True
 
     def _slot(self, now_seconds: float) -> _Slot:
-        """Return the slot of the present time, without those before the window."""
+        """Return the current slot, after dropping those before the window."""
         slots = self._slots
         first_seconds = now_seconds - self._terms.window_seconds - SLOT_SECONDS
         while slots and slots[0].started_seconds < first_seconds:
--- a/lycheepost/decide/suspects.py
+++ b/lycheepost/decide/suspects.py
@@ -1,8 +1,8 @@
-"""Where suspects are tried: requests that ran on a target when it was lost.
+"""Placement of suspects, that is requests that ran on a target when it was lost.
 
-A suspect runs on a target without other suspects, so that its second loss convicts
-it alone. Other daemons try suspects too; they tell where, and keep apart by an order
-that all of them share.
+A suspect runs on a target without other suspects, so that a second loss quarantines it
+alone. Other daemons place suspects too. They report where, and choose different targets
+by a ranking that all of them share.
 """
 
 from dataclasses import replace
@@ -17,11 +17,11 @@
     """Places the suspects of one target group.
 
     Args:
-        quarantine: Knows who is a suspect.
+        quarantine: Records which fingerprints are suspects.
         placement: The targets of the group.
 
     Attributes:
-        peers: Targets on which other daemons try suspects.
+        peers: Targets on which other daemons run suspects.
     """
 
     def __init__(self, quarantine: Quarantine, placement: Placement) -> None:
@@ -31,11 +31,11 @@
         self._tried: list[TargetId] = []
 
     def is_suspect(self, work: Work, now_seconds: float) -> bool:
-        """Tell whether work was running on a target that was lost lately."""
+        """Return whether work was running on a recently lost target."""
         return self._quarantine.is_suspect(work.fingerprint, now_seconds)
 
     def note_sent(self, target: TargetId) -> None:
-        """Note that a suspect is sent to a target."""
+        """Record that a suspect was sent to a target."""
         self._tried.append(target)
 
     def take_tried(self) -> list[TargetId]:
@@ -45,16 +45,16 @@
         return tried
 
     def choose(self, work: Work, now_seconds: float, ahead_of: Ahead) -> Choice | None:
-        """Return where to try a suspect; None where no target fits."""
+        """Return where to send a suspect; None if no target is suitable."""
         avoided = work.excluded | self._targets_with_suspects(now_seconds)
         choice = self._choose_assigned(work, now_seconds, avoided, ahead_of)
         if choice is None:
             choice = self._placement.best(work, now_seconds, avoided, ahead_of)
         if choice is not None:
             return choice
-        # A target that is lost with many requests makes them all suspects, more
-        # than there are targets to try each alone on. They wait for their turn;
-        # refusing them would fail the innocent ones.
+        # A target lost with many requests makes all of them suspects, more than there
+        # are targets without a suspect. They wait, since refusing them would fail the
+        # unrelated requests among them.
         choice = self._placement.best(work, now_seconds, work.excluded, ahead_of)
         return None if choice is None else replace(choice, can_take=False)
 
@@ -65,14 +65,15 @@
         avoid: frozenset[TargetId],
         ahead_of: Ahead,
     ) -> Choice | None:
-        """Choose the target on which only this suspect is tried by any daemon.
+        """Choose the target assigned to this suspect by its rank.
 
-        The failure: a killer and an innocent request are lost with one target. Two
-        daemons try them again at the same moment, before either hears of the other's
-        try, on the target that both find best, and its loss convicts both.
+        When a request that crashes targets and an unrelated one are lost with one
+        target, two daemons may retry them at the same time, before either knows of the
+        other's attempt, on the target that both rate best. Its loss would quarantine
+        both.
 
         Returns:
-            None where no other suspect may be tried now, or that target has no room.
+            None if there are no other recent suspects, or the target has no capacity.
         """
         rank = self._quarantine.rank_of(work.fingerprint, now_seconds)
         targets = self._placement.serving()
