--- a/lycheepost/core/clock.py
+++ b/lycheepost/core/clock.py
@@ -1,8 +1,8 @@
-"""Clocks: one that counts suspension, and a fake one for tests.
+"""A system clock that includes suspension, and a fake clock for tests.
 
-A lease holder that was suspended must see on waking that its lease has run
-out. ``CLOCK_MONOTONIC`` stands still during suspension on Linux, so the system
-clock here reads ``CLOCK_BOOTTIME``.
+A lease holder that was suspended must detect on resume that its lease has expired.
+``CLOCK_MONOTONIC`` stops during suspension on Linux, so the system clock reads
+``CLOCK_BOOTTIME``.
 """
 
 import time
@@ -11,14 +11,14 @@
 
 
 class Clock(Protocol):
-    """What parts of the program may ask about time."""
+    """Interface through which components read the time."""
 
     def now_seconds(self) -> float:
-        """Return seconds since an arbitrary start, counting suspension."""
+        """Return seconds since an arbitrary start, including suspension."""
         ...
 
     def wall_seconds(self) -> float:
-        """Return seconds since the Unix epoch; it may jump."""
+        """Return seconds since the Unix epoch; may jump."""
         ...
 
 
@@ -36,10 +36,10 @@
 
 @dataclass
 class FakeClock:
-    """A clock that moves only when told to.
+    """A clock that only moves by ``advance``.
 
     Attributes:
-        seconds: What both readings return.
+        seconds: The time that both readings return.
     """
 
     seconds: float = 1_000_000.0
--- a/lycheepost/core/errors.py
+++ b/lycheepost/core/errors.py
@@ -1,8 +1,8 @@
-"""The base of all typed errors.
+"""The base class of all typed errors.
 
-Each layer defines its own subclasses and turns the errors of the layer below
-into them at its edge. Errors are returned in ``returns.result.Failure`` where a
-caller must decide, and raised only where a task cannot go on.
+Each layer defines its own subclasses and converts the errors of the layer below into
+them at its boundary. Errors are returned in ``returns.result.Failure`` if the caller
+must handle them, and raised only if a task cannot continue.
 """
 
 from dataclasses import dataclass
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True)
 class LycheepostError(Exception):
-    """An error with a sentence for a person.
+    """An error with a human-readable reason.
 
     Attributes:
-        reason: One short sentence; it never holds prompt text or a key.
+        reason: One short sentence, never with prompt text or a key.
     """
 
     reason: str
--- a/lycheepost/core/fleetmember.py
+++ b/lycheepost/core/fleetmember.py
@@ -1,4 +1,4 @@
-"""A daemon as the decisions on the fleet see it."""
+"""A daemon as a member of the fleet."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
     """One daemon of the fleet.
 
     Attributes:
-        capacity: What its VM can carry.
+        capacity: Capacity of its VM.
     """
 
     daemon: DaemonId
--- a/lycheepost/core/ids.py
+++ b/lycheepost/core/ids.py
@@ -1,4 +1,4 @@
-"""Typed identifiers, so that one kind of id cannot be passed for another."""
+"""Typed identifiers, so that type checking detects mixed-up kinds of ids."""
 
 from typing import NewType
 
@@ -13,7 +13,7 @@
 RequestId = NewType("RequestId", str)
 IdempotencyKey = NewType("IdempotencyKey", str)
 Incarnation = NewType("Incarnation", str)
-"""The boot id of a target: it changes whenever the target restarts empty."""
+"""The boot id of a target, which changes whenever it restarts with no state."""
 PlanId = NewType("PlanId", str)
 OrderId = NewType("OrderId", str)
 Revision = NewType("Revision", int)
--- a/lycheepost/core/notices.py
+++ b/lycheepost/core/notices.py
@@ -1,18 +1,18 @@
-"""What a target says of itself in the head of an answer, beside its load."""
+"""Notices of a target about itself in its response headers, apart from its load."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class TargetNotice:
-    """What one answer says of its target.
+    """The notice in one response of a target.
 
     Attributes:
-        limit_per_second: Requests a second that it takes from all daemons together;
-            None where it names no limit.
-        is_leaving: It serves what it has, and will end.
-        retry_after_seconds: It turned this daemon away, and wants no request from it
-            for so long; None where it asks for nothing.
+        limit_per_second: Requests a second that it accepts from all daemons together;
+            None for no limit.
+        is_leaving: Whether it finishes its current requests and then exits.
+        retry_after_seconds: Time for which it accepts no request from this daemon,
+            after it rejected one; None for no back-off.
     """
 
     limit_per_second: float | None = None
--- a/lycheepost/core/quotas.py
+++ b/lycheepost/core/quotas.py
@@ -1,8 +1,7 @@
-"""Quotas: how much work a customer may ask of the whole fleet.
+"""Customer quotas for the whole fleet.
 
-A quota is a token bucket. Its unit is a request, or a token of prompt and answer, as
-a customer that sends few long prompts costs the targets as much as one that sends many
-short ones.
+A quota is a token bucket. Its unit is a request, or a token of prompt and response,
+since a few long prompts cost the targets as much as many short ones.
 """
 
 import math
@@ -11,7 +10,7 @@
 
 
 class QuotaUnit(Enum):
-    """What a quota counts."""
+    """Unit in which a quota is counted."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -19,15 +18,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """What one customer may ask of all daemons together.
+    """The quota of one customer, for all daemons together.
 
-    A customer without a limit has no quota; there is no figure that stands for it.
+    A customer without a limit has no quota; no value stands for an unlimited one.
 
     Attributes:
-        unit: What is counted.
-        rate_per_second: Units that come back each second.
-        burst: Units that a customer which has been silent may ask for at once.
-        plain_units: Units of a request that tells nothing of tokens.
+        unit: Unit of the other values.
+        rate_per_second: Units refilled per second.
+        burst: Units that an idle customer may request at once.
+        plain_units: Units of a request without a token count.
     """
 
     unit: QuotaUnit
@@ -36,11 +35,11 @@
     plain_units: float = 1.0
 
     def units_of(self, n_tokens: int | None) -> float:
-        """Return the units that a request counts for.
+        """Return the units that a request costs.
 
         Args:
-            n_tokens: Tokens of its prompt and at most of its answer; None when the
-                caller tells nothing of them.
+            n_tokens: Tokens of its prompt plus the maximum of its response; None if
+                the caller doesn't state them.
         """
         match self.unit:
             case QuotaUnit.REQUESTS:
@@ -51,12 +50,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaTolerance:
-    """How far the fleet may go beyond a quota.
+    """How far the fleet may exceed a quota.
 
     Attributes:
-        share: Beyond what the quota allows in a window, as a share of it.
-        units: Beyond that.
-        window_seconds: In any span of this length.
+        share: Tolerated excess in a window, as a fraction of what the quota allows.
+        units: Tolerated excess in addition to that.
+        window_seconds: Length of the window; the limits hold for any span of it.
     """
 
     share: float = 0.0
@@ -64,13 +63,13 @@
     window_seconds: float = 1.0
 
     def of(self, quota: Quota) -> float:
-        """Return the units beyond ``quota`` that are tolerated in a window."""
+        """Return the tolerated excess over ``quota`` in a window, in units."""
         allowed = quota.rate_per_second * self.window_seconds + quota.burst
         return self.share * allowed + self.units
 
 
 def quota_errors(quota: Quota) -> tuple[str, ...]:
-    """Return what is wrong with a quota, one sentence for each fault."""
+    """Return the errors of a quota, one sentence for each."""
     faults = [
         f"{name} is {value}, not a number from 0 on."
         for name, value in (
--- a/lycheepost/core/starts.py
+++ b/lycheepost/core/starts.py
@@ -1,9 +1,9 @@
-"""One start of one target: who it is, and since when.
+"""One start of one target, identified by the target and its start time.
 
-A target keeps its name when it starts again, and then holds nothing of before: no
-cached prompt, no count of orders, no work. So what is known of a target is known of
-one start of it, and two starts are told apart by the time that the target states.
-Only starts of one target are compared, by that target's own clock.
+A restarted target keeps its name but loses its state: cached prompts, order counts and
+requests. So whatever is known of a target holds for one start of it. Starts are
+distinguished by the start time that the target reports on its own clock, and only
+starts of the same target are compared.
 """
 
 from dataclasses import dataclass
@@ -16,8 +16,8 @@
     """One start of one target.
 
     Attributes:
-        started_ms: Unix millisecond of the start, by the target's clock; None where
-            the target does not state it and has a new name after each start.
+        started_ms: Unix time of the start in milliseconds, on the target's clock; None
+            if the target doesn't report it and gets a new name with each start.
     """
 
     target: TargetId
@@ -25,21 +25,21 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return what the decisions tell starts apart by."""
+        """Return the identifier by which the scheduler distinguishes starts."""
         if self.started_ms is None:
             return Incarnation(self.target)
         return Incarnation(f"{self.target}@{self.started_ms}")
 
     def is_newer_than(self, other: "TargetStart") -> bool:
-        """Tell whether this is a later start of the same target."""
+        """Return whether this is a later start of the same target."""
         if self.started_ms is None:
             return False
         return other.started_ms is None or self.started_ms > other.started_ms
 
     def is_older_than(self, other: "TargetStart") -> bool:
-        """Tell whether this is an earlier start of the same target.
+        """Return whether this is an earlier start of the same target.
 
-        Whoever states no time speaks of an earlier start, or is another writer, once
-        the target has stated one.
+        Once the target has reported a start time, a record without one describes an
+        earlier start or comes from another writer.
         """
         return other.is_newer_than(self)
--- a/lycheepost/decide/backoff.py
+++ b/lycheepost/decide/backoff.py
@@ -21,8 +21,7 @@
         self._until_seconds: dict[TargetId, float] = {}
 
     def note(self, target: TargetId, for_seconds: float, now_seconds: float) -> bool:
-        """Record a requested back-off; return whether the target's back-off got
-        longer."""
+        """Record a requested back-off; return whether it ends later than before."""
         until_seconds = now_seconds + min(MAX_BACK_OFF_SECONDS, for_seconds)
         if until_seconds <= max(now_seconds, self.until_seconds(target)):
             return False
--- a/lycheepost/decide/mechanisms.py
+++ b/lycheepost/decide/mechanisms.py
@@ -1,7 +1,8 @@
-"""Mechanisms of the decisions that can be switched off, to measure what they are worth.
+"""Scheduling mechanisms that can be switched off, to measure their effect.
 
-A daemon is told by a list of names; all daemons of a fleet are told the same. Nothing
-is off unless somebody measures, or finds that a mechanism does harm in a deployment.
+They are configured as a list of names, which is the same for all daemons of a fleet. By
+default none is off. They are switched off for measurements, or in a deployment where a
+mechanism does harm.
 """
 
 from enum import Enum
@@ -10,29 +11,30 @@
 
 
 class Mechanism(Enum):
-    """What can be switched off; each value is the name in settings."""
+    """A mechanism that can be switched off; its value is the name in the settings."""
 
     KV_SENDS = "kv_sends"
-    """Prompts go to a KV store only while it lacks their shared parts; off: always."""
+    """Prompts are sent to a KV store only if it lacks their shared parts; off:
+    always."""
     KV_FETCHES = "kv_fetches"
-    """What a KV store keeps does not count as prefill; off: it does."""
+    """Tokens that a KV store holds don't count as prefill; off: they do."""
     CACHE_EVENTS = "cache_events"
-    """Placement follows engines' cache events; off: only its own requests."""
+    """Placement uses the engines' cache events; off: only this daemon's requests."""
     RANDOM_ADMISSION = "random_admission"
-    """Daemons divide room that all of them see at random; off: each takes it."""
+    """Daemons randomly divide free slots that all of them see; off: each takes them."""
     LATE_LAST = "late_last"
-    """Requests that are late get a lower priority; off: all go by their arrival."""
+    """Late requests get a lower priority; off: all are ordered by arrival."""
     RUNS_END = "runs_end"
-    """Targets are ordered once their runs have ended; off: after a moment."""
+    """Orders to targets wait until their runs have ended; off: for a fixed time."""
     NEW_WEIGHTS = "new_weights"
-    """Targets with the newest weights are preferred; off: all count alike."""
+    """Targets with the newest weights are preferred; off: all are equal."""
 
 
 def parse_mechanisms(text: str) -> Result[frozenset[Mechanism], str]:
-    """Return the mechanisms that a text names, or which of its names is none.
+    """Return the mechanisms listed in a text, or an error for an unknown name.
 
     Args:
-        text: Names joined by commas; empty for none.
+        text: Comma-separated names; may be empty.
     """
     found: set[Mechanism] = set()
     for name in filter(None, (word.strip() for word in text.split(","))):
@@ -45,5 +47,5 @@
 
 
 def names_of(mechanisms: frozenset[Mechanism]) -> list[str]:
-    """Return the names of mechanisms in order, for logs and status pages."""
+    """Return the sorted names of mechanisms, for logs and status pages."""
     return sorted(item.value for item in mechanisms)
--- a/lycheepost/decide/rates.py
+++ b/lycheepost/decide/rates.py
@@ -1,7 +1,7 @@
-"""Measured speeds of a target group's engines.
+"""Measured processing rates of a target group's engines.
 
-First tokens tell how fast prompts are worked off in general; ``decide.slow``
-sets each target against it.
+First-token times give the group's usual prefill rate; ``decide.slow`` compares each
+target with it.
 """
 
 from dataclasses import dataclass
@@ -9,29 +9,29 @@
 from lycheepost.decide.settings import SchedulerSettings
 
 SMOOTHING_WEIGHT = 0.05
-"""Weight of one observation; some twenty settle a figure."""
+"""Weight of one observation in an average, which needs some twenty to settle."""
 
 MAX_RATIO = 4.0
-"""One hanging target must not make slowness the usual."""
+"""Bounds the influence of one hanging target on the group's usual ratio."""
 
 MAX_FIXED_COST_TOKENS = 300
-"""Below this the fixed part of a first token is nearly all of it."""
+"""Below this the fixed part dominates the first-token time."""
 
 MIN_TOKEN_COST_TOKENS = 800
-"""Above this the time per token can be told from the fixed part."""
+"""Above this the time per token can be separated from the fixed part."""
 
 
 @dataclass(slots=True)
 class Rates:
-    """Speeds of one target group.
+    """Processing rates of one target group.
 
     Attributes:
-        token_seconds: Time per prompt token that waits or is one's own.
-        first_token_seconds: Fixed part of a first token.
+        token_seconds: Prefill time per prompt token, queued or of the request itself.
+        first_token_seconds: Fixed part of the first-token time.
         hold_seconds: How long a request occupies a slot.
-        uncached_share: Share of prompt tokens that engines had to compute.
-        usual_ratio: Observed over predicted first-token time of all targets,
-            which each target is compared with.
+        uncached_share: Fraction of prompt tokens that engines had to compute.
+        usual_ratio: Observed over predicted first-token time, averaged over all
+            targets; each target is compared with it.
     """
 
     token_seconds: float
@@ -41,11 +41,11 @@
     usual_ratio: float = 1.0
 
     def observe_first_token(self, elapsed_seconds: float, n_tokens: float) -> float:
-        """Learn from one first token; returns observed over predicted time.
+        """Update the rates by one first token; return observed over predicted time.
 
         Args:
-            elapsed_seconds: From the dispatch to the first token.
-            n_tokens: Uncached tokens of it and of those ahead of it.
+            elapsed_seconds: Time from the dispatch to the first token.
+            n_tokens: Uncached tokens of the request and of those ahead of it.
         """
         predicted = self.first_token_seconds + n_tokens * self.token_seconds
         if n_tokens < MAX_FIXED_COST_TOKENS:
@@ -62,15 +62,15 @@
         return ratio
 
     def observe_hold(self, held_seconds: float) -> None:
-        """Learn how long a request occupied its slot."""
+        """Update the average time for which a request occupies its slot."""
         self.hold_seconds += SMOOTHING_WEIGHT * (held_seconds - self.hold_seconds)
 
     def observe_uncached(self, uncached_tokens: int, prompt_tokens: int) -> None:
-        """Learn how much of a prompt had to be computed."""
+        """Update the average fraction of a prompt that had to be computed."""
         share = uncached_tokens / max(1, prompt_tokens)
         self.uncached_share += SMOOTHING_WEIGHT * (share - self.uncached_share)
 
 
 def make_rates(settings: SchedulerSettings) -> Rates:
-    """Return the first guesses."""
+    """Return the initial estimates."""
     return Rates(settings.prefill_seconds_per_token, settings.first_token_seconds)
--- a/lycheepost/decide/settings.py
+++ b/lycheepost/decide/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the decisions, each with its reason.
+"""Settings of the scheduling decisions.
 
-``make_scheduler_settings`` takes what operators may change from the checked
-settings file; the other values describe mechanisms and keep their defaults.
+``make_scheduler_settings`` takes the values that operators may change from the
+validated settings file; the other values are internal and keep their defaults.
 """
 
 from dataclasses import dataclass
@@ -12,26 +12,26 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerSettings:
-    """Bounds and weights of the decisions.
+    """Bounds and weights of the scheduling decisions.
 
     Attributes:
-        queue_requests: Most requests waiting; more would only wait in vain.
-        customer_queue_requests: Most requests of one customer waiting.
+        queue_requests: Maximum number of waiting requests; more would time out.
+        customer_queue_requests: Maximum number of waiting requests of one customer.
         wait_weight: Cost of one second of predicted wait.
         recompute_weight: Cost of one second of avoidable prefill.
-        retry_share: Retries as a share of first tries, so that a fleet in
-            trouble is not loaded twice.
-        max_tries: Most targets that one request may reach.
+        retry_share: Retries as a fraction of first attempts, so that retries don't
+            double the load on a failing fleet.
+        max_tries: Maximum number of targets that one request may reach.
         quarantine_losses: Target losses after which a request is quarantined.
         quarantine_seconds: How long a quarantined request stays refused.
         candidates: Targets scored for one request.
-        prefill_seconds_per_token: First guess, until measured.
-        decode_seconds_per_token: Engine time that one output token takes.
-        first_token_seconds: First guess of the fixed part of a first token.
-        admit_wait_share: Share of a caller's patience that the predicted
-            wait may take; the rest covers errors of the prediction.
-        queue_seconds: Longest wait that a queue is allowed to build up.
-        switched_off: Mechanisms that are not used.
+        prefill_seconds_per_token: Initial estimate, until measured.
+        decode_seconds_per_token: Engine time per output token.
+        first_token_seconds: Initial estimate of the fixed part of the first-token time.
+        admit_wait_share: Fraction of the first-token timeout that the predicted wait
+            may take; the rest covers prediction errors.
+        queue_seconds: Maximum wait that a queue may build up.
+        switched_off: Disabled mechanisms.
     """
 
     queue_requests: int = 2000
@@ -52,7 +52,7 @@
 
 
 def make_scheduler_settings(settings: Settings) -> SchedulerSettings:
-    """Return the decisions' part of a daemon's settings."""
+    """Return the scheduling part of a daemon's settings."""
     limits = settings.limits
     objectives = settings.objectives
     return SchedulerSettings(
--- a/lycheepost/decide/targethealth.py
+++ b/lycheepost/decide/targethealth.py
@@ -1,12 +1,12 @@
-"""Which targets to leave alone for a moment, told from how their requests end.
-
-The failures: a target that is gone but still listed, one whose health answer is
-good while it fails part of its requests, and one that takes requests and says
-nothing. They show as connections refused, failures far above those of its peers,
-and silence. A target that shows so is left alone for a moment that doubles each
-time; then real requests try it again. Targets are compared with their peers, so a
-service that fails everywhere loses none of its targets, and at most half of a
-group is left alone for what its requests show.
+"""Outlier ejection of targets by the results of their requests.
+
+It covers targets that are gone but still listed, that pass health checks but fail part
+of their requests, and that accept requests but never respond. These cause refused
+connections, a failure rate far above that of the group's other targets, and timeouts.
+Such a target is ejected for a time that doubles with each ejection, after which real
+requests test it again. Targets are compared with the others of their group, so a
+service that fails everywhere loses none of its targets, and at most half of a group is
+ejected for failed requests.
 """
 
 from collections.abc import Iterable
@@ -16,34 +16,34 @@
 from lycheepost.core.ids import TargetId
 
 HALF_LIFE_SECONDS = 3.0
-"""Endings count half after this time: a few tens of requests per target at the
-present rates, and a target that recovered is trusted again within ten seconds."""
+"""Half-life of the counts. They then cover a few tens of requests per target, and a
+recovered target is trusted again within ten seconds."""
 
 MIN_EJECTION_SECONDS = 0.5
-"""A process that was restarted takes about a second; one whose listener was only
-full for a moment must not be lost for longer."""
+"""A restarted process takes about a second; a target whose listen queue was full for a
+moment must not be ejected for longer than this."""
 
 MAX_EJECTION_SECONDS = 4.0
-"""Each try of a dead target costs one request a connection attempt."""
+"""Each test of a dead target costs one request a connection attempt."""
 
 MIN_BAD_RESULTS = 2.0
-"""One bad ending may be chance: targets fail a few in a hundred by themselves."""
+"""A single failure may be random: targets usually fail a few requests in a hundred."""
 
 MIN_BAD_SHARE = 0.3
-"""Share of bad endings above which a target is left alone."""
+"""Failure rate above which a target is ejected."""
 
 MIN_PEER_RATIO = 2.5
-"""How far above its peers' share it must be as well."""
+"""Factor by which its failure rate must also exceed that of the other targets."""
 
 
 class Ending(Enum):
-    """How a request ended at a target, as far as the target's health goes."""
+    """Result of a request with regard to its target's health."""
 
     GOOD = "good"
     BAD = "bad"
-    """It failed, refused, broke off or stayed silent."""
+    """The target failed, refused, broke off or did not respond."""
     UNREACHABLE = "unreachable"
-    """It took no connection."""
+    """The target accepted no connection."""
 
 
 @dataclass(slots=True)
@@ -68,12 +68,12 @@
 
 @dataclass(slots=True)
 class TargetHealth:
-    """What the endings of requests tell about the targets of one group."""
+    """Request results and ejections of the targets of one group."""
 
     _records: dict[TargetId, _Record] = field(default_factory=dict)
 
     def observe(self, target: TargetId, ending: Ending, now_seconds: float) -> bool:
-        """Count one ending; return whether the target is left alone from now on."""
+        """Count one result; return whether the target is ejected now."""
         record = self._records.setdefault(target, _Record(updated_seconds=now_seconds))
         record.decay(now_seconds)
         match ending:
@@ -107,18 +107,18 @@
         ejection_seconds = min(max(MIN_EJECTION_SECONDS, doubled), MAX_EJECTION_SECONDS)
         record.ejection_seconds = ejection_seconds
         record.ejected_until_seconds = now_seconds + ejection_seconds
-        # The next requests after the rest shall judge it anew.
+        # The first requests after the ejection decide whether it is ejected again.
         record.bad /= 2.0
 
     def ejected(
         self, targets: Iterable[TargetId], now_seconds: float
     ) -> frozenset[TargetId]:
-        """Return those of ``targets`` to leave alone now."""
+        """Return those of ``targets`` that are ejected now."""
         names = tuple(targets)
         found = [name for name in names if self._is_ejected(name, now_seconds)]
         unreachable = [name for name in found if self._records[name].is_unreachable]
         if len(unreachable) == len(names):
-            # Perhaps it is our own link that is down; there is nothing to lose.
+            # This daemon's own network link may be down, so ejecting all is pointless.
             return frozenset()
         if 2 * len(found) > len(names):
             return frozenset(unreachable)
@@ -129,11 +129,11 @@
         return record is not None and now_seconds < record.ejected_until_seconds
 
     def forget_one(self, target: TargetId) -> None:
-        """Forget a target: it has started again, and its endings were another's."""
+        """Drop a restarted target, whose results belong to its previous start."""
         self._records.pop(target, None)
 
     def forget(self, kept: Iterable[TargetId]) -> None:
-        """Forget all targets but ``kept``."""
+        """Drop all targets except ``kept``."""
         names = set(kept)
         for target in [name for name in self._records if name not in names]:
             del self._records[target]
