--- a/features/decide/entry.feature
+++ b/features/decide/entry.feature
@@ -2,8 +2,9 @@
   Pure decisions: no network and no clock.
 
   Scenario Outline: Of <n> daemons, <wide> of them wide, <entry> carry the traffic of <targets> targets
-    Two hundred daemons with a request or two a second each know nothing of what waits
-    at an engine or is cached there. Fewer carry it, as many as their VMs can bear.
+    Guards against two hundred daemons with one or two requests a second each, which
+    know neither the engines' queues nor their caches, and against too few daemons for
+    the traffic.
     Given <n> daemons in 3 availability zones, of which <wide> are wide
     When the entry daemons of <targets> targets are chosen
     Then there are <entry> entry daemons
@@ -22,8 +23,8 @@
       | 540 | 0    | 400     | 24    | 0          |
 
   Scenario: All daemons choose the same, and few change when one is missed
-    Callers ask any daemon for addresses. Were each to name others, or all to be changed
-    by one loss, what the entry daemons know of each other would be lost with it.
+    Guards against entry daemons that lose their knowledge of each other because daemons
+    name different ones, or because one loss changes all of them.
     Given 195 daemons in 3 availability zones, of which 15 are wide
     When the entry daemons of 44 targets are chosen
     Then each daemon chooses the same, in whatever order it knows the others
@@ -31,31 +32,30 @@
     Then one other takes its place, and the rest stays
 
   Scenario: A zone's only wide VM is lost
-    The zone's callers would otherwise reach no daemon nearby, and none at all when the
-    other zones are cut off.
+    Guards against a zone without an entry daemon. Its callers reach no daemon at all if
+    the other zones are unreachable.
     Given 195 daemons in 3 availability zones, of which 15 are wide
     When all wide ones of one zone are missed
     And the entry daemons of 44 targets are chosen
     Then each availability zone has one
 
   Scenario: A part that one entry daemon has sent to a target is found there by the others
-    Ten callers ask about one album, each through another daemon. Were each daemon to
-    know only its own sends, ten engines would read the album.
-    Given 10 daemons before 39 targets, that tell each other their load and their sends
+    Guards against ten callers with one album, each on another daemon, whose requests
+    make ten engines prefill the album.
+    Given 10 daemons before 39 targets that exchange their load and their placements
     When each of them gets 3 requests of one album, one at a time in turn
     Then at most 2 targets have read the album
 
   Scenario: Requests spread evenly although no two daemons get the same ones
-    Ten daemons each get a request at nearly the same moment, again and again, before
-    any target has answered.
-    Given 10 daemons before 18 targets, that tell each other their load and their sends
+    Ten daemons each get a request at nearly the same time, repeatedly, before any
+    target has responded.
+    Given 10 daemons before 18 targets that exchange their load and their placements
     When each of them gets 22 requests, one at a time in turn
     Then the busiest of all targets has at most 1.2 times the mean
 
   Scenario Outline: Of <n> daemons <followers> follow a KV store, <engines> the engines
-    A store holds a dozen questions for its events at once, an engine eight. In a fleet
-    of 86 daemons most calls to them would be refused, and each counts like a question
-    for its health.
+    A KV store accepts a dozen concurrent event polls, an engine eight. In a fleet of 86
+    daemons most polls would be rejected, and each costs as much as a health check.
     Given <n> daemons in 3 availability zones, of which 0 are wide
     When the entry daemons of 9 targets are chosen
     Then <followers> of them follow the KV stores and <engines> the engines
@@ -68,8 +68,8 @@
       | 86 | 10        | 0       |
 
   Scenario Outline: With <entry> of <n> daemons to name, an answer is kept <how>
-    All daemons have lost power. The first one back is named alone for half a second;
-    each caller that keeps the answer comes to it while the others stand idle.
+    After a power loss the first daemon to recover is named alone for half a second.
+    Guards against callers that cache this answer and overload it while others are idle.
     Then with <entry> of <n> daemons to name, an answer is to be kept <how>
 
     Examples:
--- a/features/decide/feedtree.feature
+++ b/features/decide/feedtree.feature
@@ -2,8 +2,8 @@
   Pure decisions: no network and no clock.
 
   Scenario Outline: Of <n> daemons one asks the store, and none is more than <steps> steps from it
-    Each daemon that asks the store makes over a call a second. What comes at third hand
-    is at most three seconds old, and keys may be trusted for 3.8 s.
+    Each daemon that asks the store makes more than one call a second. An answer passed
+    on twice is at most three seconds old, and keys may be trusted for 3.8 s.
     Given <n> daemons of a feed in 5 availability zones, of which <wide> are wide
     When each finds whom to ask
     Then one daemon asks the store, and each other is at most <steps> steps from it
@@ -19,15 +19,15 @@
       | 540 | 0    | 2     | 56     |
 
   Scenario: The ones that are asked have wide links
-    A daemon that starts is sent the whole configuration. Twenty that start at once would
-    fill a narrow link for seconds.
+    A starting daemon fetches the whole configuration. Guards against a slow link that
+    twenty daemons saturate for seconds when they start at once.
     Given 195 daemons of a feed in 5 availability zones, of which 15 are wide
     When each finds whom to ask
     Then each daemon asks a wide one first
 
   Scenario Outline: When <who> does not serve, everybody has another to ask
-    It is killed, cut off or leaves. Nobody may ask it any more, and the store is asked
-    by one daemon still.
+    A daemon is killed, becomes unreachable or leaves. Guards against daemons that still
+    ask it, and against more than one daemon that asks the store.
     Given 195 daemons of a feed in 5 availability zones, of which 15 are wide
     When <who> does not serve
     And each finds whom to ask
@@ -41,8 +41,8 @@
       | every third daemon              |
 
   Scenario: A daemon that cannot serve for a moment moves nobody else
-    A third of the daemons loses the store for some seconds. Were each of them left out,
-    all others would ask somebody else, and again when they are back.
+    Guards against daemons that all change their sources when some of the others lose
+    the store for some seconds, and once more when these recover.
     Given 195 daemons of a feed in 5 availability zones, of which 15 are wide
     When each finds whom to ask
     And a daemon that nobody asks does not serve
--- a/features/decide/mechanisms.feature
+++ b/features/decide/mechanisms.feature
@@ -24,7 +24,7 @@
 
   Scenario: Without random_admission a daemon takes all the room that it sees
     Given the mechanism random_admission is switched off
-    Then a daemon with 6 peers that wait sends out all that has room
+    Then a daemon with 6 waiting peers sends all requests for which there are free slots
 
   Scenario: Without late_last nobody makes way
     Given the mechanism late_last is switched off
--- a/features/decide/notices.feature
+++ b/features/decide/notices.feature
@@ -2,7 +2,7 @@
   Virtual time, no sockets.
 
   Scenario Outline: An answer that <kind> says that its target leaves: <effect>
-    Guards against a spoilt answer that takes a target out for good.
+    Guards against a corrupted answer that permanently excludes a target.
     When an answer that <kind> says that its target leaves
     Then its target <effect>
 
@@ -15,9 +15,9 @@
   Scenario: Only news of a leaving is told
     Guards against a message to all daemons for each answer of a target that leaves.
     When an answer that is sealed says that its target leaves
-    Then that is news
+    Then that is a change
     When an answer that is sealed says that its target leaves
-    Then that is no news
+    Then that is no change
 
   Scenario: Targets that leave are remembered in bounds
     Guards against memory that grows with each target that ever left.
--- a/features/decide/ratelimits.feature
+++ b/features/decide/ratelimits.feature
@@ -2,7 +2,8 @@
   Virtual time, no sockets.
 
   Scenario: An answer to an earlier request does not end a limit
-    A long answer begins before its target names a limit and comes after it.
+    Guards against a long answer that begins before its target names a limit, arrives
+    after it and ends it.
     Given a target that has named a limit of 2 a second
     When an answer without a limit comes to a request that was sent before
     Then the limit is 2 a second
@@ -10,21 +11,22 @@
     Then there is no limit
 
   Scenario: Older word from a peer changes nothing
-    A daemon that hears late would bring a limit back that has ended.
+    Guards against a delayed peer report that restores a limit which has ended.
     Given a target that has named a limit of 2 a second
     When an answer without a limit comes to a request that was sent after
-    And a peer tells of a limit of 2 a second that it heard before
+    And a peer reports a limit of 2 a second that it received before
     Then there is no limit
 
   Scenario: Newer word from a peer counts
-    Guards against a daemon that keeps to its own older word, or tells on what it was told.
+    Guards against a daemon that keeps an older report of its own, or forwards reports of
+    peers.
     Given a target that has named a limit of 2 a second
-    When a peer tells of a limit of 5 a second that it heard just now
+    When a peer reports a limit of 5 a second that it received now
     Then the limit is 5 a second
-    And what a peer told is not told on
+    And the peer's report is not forwarded
 
   Scenario Outline: The fleet keeps to a limit that is divided: <load>
-    Guards against daemons that each send all that a target takes from the whole fleet.
+    Guards against daemons that each use the whole limit of a target by themselves.
     When <load> are played with seeds 1 to 5
     Then no window is beyond what is tolerated
 
@@ -39,15 +41,16 @@
       | 7 daemons, limit 0              |
 
   Scenario: What a limited target does not take goes to the others at once
-    Guards against requests that queue for a target in need while others have room.
+    Guards against requests that queue for an overloaded target while others have
+    capacity.
     Given a daemon before 3 targets of which the first names a limit of 1 a second
     When it gets 60 requests in 10 s
     Then the first target gets at most 2 of them
     And all of them are sent within 0.1 s
 
   Scenario: Where all targets are limited, requests are refused at once with the time
-    Guards against requests that wait until their callers have left, and against callers
-    that are told to come back while the limits still keep them out.
+    Guards against requests that wait until their callers have left, and against a retry
+    time at which the limits still refuse the request.
     Given a daemon before 2 targets that all name a limit of 0.2 a second
     When it gets 6 requests in 1 s
     Then all of them are refused at once
@@ -75,7 +78,7 @@
     Then it is sent 0.5 s to 0.6 s later
 
   Scenario: A target is used again when its back-off is over
-    Guards against a target that is left alone for good.
+    Guards against a target that is excluded permanently.
     Given a daemon before 1 target that asks for a back-off of 1 s
     When 1 s passes
     And it gets 6 requests in 1 s
@@ -99,7 +102,7 @@
     Then the first target gets at most 2 of them
 
   Scenario: A limit that has ended keeps nothing back
-    Guards against a daemon that goes on holding requests back from a target that is well.
+    Guards against a daemon that keeps limiting requests to a recovered target.
     Given a daemon before 1 target that names a limit of 1 a second and then none
     When it gets 6 requests in 1 s
     Then all of them are sent within 0.1 s
@@ -112,7 +115,7 @@
     Then the first target gets at most 1 of them
 
   Scenario: A prompt that a limited target caches goes elsewhere under pressure
-    Guards against requests that queue for a target in need because it has their prompt.
+    Guards against requests that queue for an overloaded target that caches their prompt.
     Given a daemon before 3 targets of which the first names a limit of 10 a second
     And the first target caches a long prompt that many ask for, while work waits
     When it gets 20 requests for that prompt in 2 s
--- a/features/decide/retries.feature
+++ b/features/decide/retries.feature
@@ -2,8 +2,8 @@
   Pure decisions: no network and no clock.
 
   Scenario: A lost target's requests may be tried again all at once
-    A target is lost with twenty requests. Budgets that trickle in would let four of
-    them go elsewhere and fail the rest, although nothing was repeated before.
+    Guards against a token bucket: when a target is lost with twenty requests, it would
+    allow four retries and fail the rest, although nothing was retried before.
     Given a budget of 0.2 of the requests and 6 beyond, in any ten seconds
     When 80 requests have come in 8 s
     Then 20 of 20 retries at once are allowed
@@ -15,8 +15,8 @@
     Then no 10 s hold more than 26 retries
 
   Scenario: The bound holds over the span that a deployment asks for
-    Another deployment counts over forty seconds. A budget that came back after ten
-    would send four times as many repeats as are allowed there.
+    A deployment may count over forty seconds. Guards against a budget that refills after
+    ten and allows four times as many retries there.
     Given a budget of 0.2 of the requests and 6 beyond, in any 40 s
     When 10 requests a second come for 120 s, each tried again if allowed
     Then no 40 s hold more than 86 retries
--- a/features/decide/silence.feature
+++ b/features/decide/silence.feature
@@ -2,9 +2,10 @@
   Pure decisions: no network and no clock.
 
   Scenario Outline: A <kind> route with <runs> runs: silent for <first> s at first, for <gap> s within
-    The engines read prompts between the tokens of their streams, and half a second
-    passes between two events. A limit below that took streams from busy engines, whose
-    prompts were then read again by others as busy. The caller leaves after 4 s.
+    Engines prefill prompts between the tokens of their streams, so that half a second
+    may pass between two events. Guards against a lower limit, which moves streams from
+    busy engines to others that are as busy and prefill the prompts again. The caller
+    disconnects after 4 s.
     Given a <kind> route with at most 2 runs, 0.5 s to its first part and between two
     When a request of it has 15 s left and <runs> runs
     Then its first part is waited for <first> s
@@ -18,11 +19,10 @@
       | idempotent | 0    | 1.5   | forever |
 
   Scenario Outline: A silent target is <outcome> when <state>
-    A fleet is busy and its targets pause. A request that is taken from one of them
-    only to find no other target, or no retry left, has lost an answer that was on
-    its way.
-    Given a request under way at a silent target while <state>
-    When it asks for another try
+    Guards against a request that leaves a busy, pausing target when there is no other
+    target or no retry left, and so loses an answer that was in progress.
+    Given a request in flight at a silent target while <state>
+    When it asks for another attempt
     Then its silent target is <outcome>
 
     Examples:
@@ -33,24 +33,24 @@
       | no retry is left                   | kept    |
 
   Scenario: A retry that was reserved is not charged twice
-    A silent target is left with the last retry of the budget. Charged once more as it
-    is tried again, the request would be refused, though its retry was its own.
-    Given a request under way at a silent target while another target has room
+    Guards against charging the last retry of the budget twice, when the request leaves a
+    silent target and when it is sent again, which would refuse the request.
+    Given a request in flight at a silent target while another target has room
     And a budget of one retry
-    When it asks for another try
-    And it is tried again with the retry that it took
+    When it asks for another attempt
+    And it is sent again with the retry that it took
     Then it is sent to the other target
 
   Scenario: The rest of a long stream is not refused as too late
-    A stream of ten seconds breaks off in its seventh. Its caller has the beginning of it,
-    waiting for the next event as long as it waited for the first one.
+    A stream of ten seconds breaks off in its seventh. Its caller waits for the next event
+    as long as it waited for the first one.
     Given a stream of a route whose callers wait 4 s for the next part
     When it is continued 7 s after it arrived
     Then it may wait 4 s more
 
   Scenario Outline: A pause of an answer is <outcome> when the answer <may> be left
-    A busy engine pauses, then goes on. A reader that gives it up where no other target
-    can be had cuts an answer that was on its way.
+    Guards against a reader that gives up on a busy, pausing engine when no other target
+    is available, and so cuts an answer that was in progress.
     Given an answer that pauses for long, and then goes on
     When it is read with a limit on pauses, and <may> be left
     Then <outcome>
--- a/features/decide/steps/entry_steps.py
+++ b/features/decide/steps/entry_steps.py
@@ -107,8 +107,8 @@
 
 
 @given(
-    "{n:d} daemons before {n_targets:d} targets, that tell each other their load and "
-    "their sends"
+    "{n:d} daemons before {n_targets:d} targets that exchange their load and "
+    "their placements"
 )
 def step_fleet(context, n, n_targets):
     context.n_targets = n_targets
@@ -119,10 +119,10 @@
         desk.announce()
 
 
-def tell_others(context, number):
-    """Let one daemon's load and sends be known to the others."""
-    told = context.desks[number].scheduler
-    loads, placed = told.under_way(), told.take_placed()
+def send_to_others(context, number):
+    """Send one daemon's load and placements to the others."""
+    sender = context.desks[number].scheduler
+    loads, placed = sender.under_way(), sender.take_placed()
     for index, desk in enumerate(context.desks):
         if index == number:
             continue
@@ -140,7 +140,7 @@
     for index in range(count):
         for number, desk in enumerate(context.desks):
             desk.arrive(f"{number}-{index}")
-            tell_others(context, number)
+            send_to_others(context, number)
 
 
 @when("each of them gets {count:d} requests of one album, one at a time in turn")
@@ -148,7 +148,7 @@
     for index in range(count):
         for number, desk in enumerate(context.desks):
             desk.arrive(f"{number}-{index}", body="album")
-            tell_others(context, number)
+            send_to_others(context, number)
 
 
 @then("at most {n:d} targets have read the album")
--- a/features/decide/steps/faults.py
+++ b/features/decide/steps/faults.py
@@ -10,12 +10,12 @@
 from lycheepost.core.ids import Incarnation, TargetId
 from lycheepost.decide.records import FinishKind, LoadReport, RefusalReason
 
-KILLER = "killer"
+CRASHING = "crashing"
 TARGET_0 = TargetId("target-0")
 
 
 @when(
-    "{count:d} requests run on target 0 and one of them kills every target it runs on"
+    "{count:d} requests run on target 0 and one of them crashes every target it runs on"
 )
 def run_on_one(context, count):
     desk = context.desk
@@ -24,7 +24,7 @@
     desk.announce()
     for index in range(count - 1):
         desk.arrive(f"neighbour-{index}", patience_seconds=60.0)
-    desk.arrive(KILLER, patience_seconds=60.0)
+    desk.arrive(CRASHING, patience_seconds=60.0)
     assert set(desk.sent.values()) == {TARGET_0} and len(desk.sent) == count
     desk.views.update(others)
     desk.announce()
@@ -38,8 +38,8 @@
     for _ in range(50):
         running = dict(desk.sent)
         desk.sent.clear()
-        lost_target = running.get(KILLER)
-        context.reached[KILLER] += lost_target is not None
+        lost_target = running.get(CRASHING)
+        context.reached[CRASHING] += lost_target is not None
         lost = [name for name, target in running.items() if target == lost_target]
         for name in lost:
             lose(desk, name, lost_target)
@@ -55,28 +55,31 @@
 
 
 def lose(desk, name, target):
-    """End a request by the loss of its target."""
+    """Finish a request with the loss of its target."""
     work = desk.works[name]
     desk.works[name] = replace(work, excluded=work.excluded | {target})
     kind = FinishKind.TARGET_LOST
     desk.note(desk.scheduler.finish(name, desk.now_seconds, kind))
 
 
-@then("the killer reached exactly {count:d} targets and is refused as quarantined")
-def check_killer(context, count):
-    assert context.reached[KILLER] == count, context.reached
-    assert context.desk.refused[KILLER].reason is RefusalReason.QUARANTINED
+@then(
+    "the crashing request reached exactly {count:d} targets"
+    " and is refused as quarantined"
+)
+def check_crashing(context, count):
+    assert context.reached[CRASHING] == count, context.reached
+    assert context.desk.refused[CRASHING].reason is RefusalReason.QUARANTINED
 
 
 @then("its resend is refused as quarantined")
 def check_resend(context):
-    context.desk.arrive("resend", body=KILLER)
+    context.desk.arrive("resend", body=CRASHING)
     assert context.desk.refused["resend"].reason is RefusalReason.QUARANTINED
 
 
 @then("all other requests complete")
 def check_others(context):
-    others = set(context.desk.works) - {KILLER, "resend"}
+    others = set(context.desk.works) - {CRASHING, "resend"}
     assert context.complete == others, others - context.complete
 
 
@@ -104,7 +107,7 @@
 
 
 class Player:
-    """Plays requests through a desk on targets that serve one after another."""
+    """Simulates requests through a desk, on targets that serve one at a time."""
 
     SERVICE_SECONDS = 0.02
 
@@ -119,7 +122,7 @@
         self.desk.arrive(f"played-{self.n_sent}", body=body, patience_seconds=20.0)
 
     def start_sent(self, slowness):
-        """Give every request that was sent its end; returns their targets."""
+        """Schedule the end of every request that was sent; return their targets."""
         desk = self.desk
         targets = list(desk.sent.values())
         for name, target in desk.sent.items():
@@ -151,7 +154,9 @@
         return targets
 
 
-@when("target 0 takes {times:d} times as long for {seconds:d} seconds and is then well")
+@when(
+    "target 0 takes {times:d} times as long for {seconds:d} seconds and then recovers"
+)
 def play_slow(context, times, seconds):
     player = Player(context.desk)
     slowness = {TARGET_0: float(times)}
@@ -187,7 +192,7 @@
     )
 
 
-@when("{count:d} requests run on target 0 and a report tells of just these {same:d}")
+@when("{count:d} requests run on target 0 and a report counts just these {same:d}")
 def report_own(context, count, same):
     desk = context.desk
     for index in range(count):
@@ -223,7 +228,7 @@
             desk.scheduler.observe_load(report, desk.now_seconds)
 
 
-@when("each gets {count:d} requests in one moment")
+@when("each gets {count:d} requests at the same time")
 def fill_desks(context, count):
     for number, desk in enumerate(context.desks):
         for index in range(count):
--- a/features/decide/steps/feedtree_steps.py
+++ b/features/decide/steps/feedtree_steps.py
@@ -73,7 +73,7 @@
     while sources[name]:
         name = sources[name][0]
         n_steps += 1
-        assert n_steps <= len(sources), "they ask in a circle"
+        assert n_steps <= len(sources), "the sources form a cycle"
     return n_steps
 
 
--- a/features/decide/steps/mechanisms_steps.py
+++ b/features/decide/steps/mechanisms_steps.py
@@ -56,8 +56,8 @@
     assert make_copies(context.off).kept_tokens(STORE, LEVELS) == 0
 
 
-def n_sent_with_lots(off):
-    """Return what goes out to a target that is free again, of 20 that wait."""
+def count_sent_after_draw(off):
+    """Return how many of 20 waiting requests go to a target that is free again."""
     desk = Desk(1, switched_off=off)
     desk.views[0] = replace(desk.views[0], cache_tokens=0, concurrency_limit=10)
     desk.announce()
@@ -70,10 +70,10 @@
     return len(desk.sent) - len(first)
 
 
-@then("a daemon with 6 peers that wait sends out all that has room")
+@then("a daemon with 6 waiting peers sends all requests for which there are free slots")
 def step_all_room(context):
-    assert n_sent_with_lots(context.off) == 10
-    assert n_sent_with_lots(frozenset()) < 10
+    assert count_sent_after_draw(context.off) == 10
+    assert count_sent_after_draw(frozenset()) < 10
 
 
 @then("a request whose objective has passed waits where it was")
--- a/features/decide/steps/notice_steps.py
+++ b/features/decide/steps/notice_steps.py
@@ -39,13 +39,13 @@
     assert not context.notices.leaving.is_leaving(START)
 
 
-@then("that is news")
-def step_news(context):
+@then("that is a change")
+def step_change(context):
     assert context.changes == [TargetLeaving(START)], context.changes
 
 
-@then("that is no news")
-def step_no_news(context):
+@then("that is no change")
+def step_no_change(context):
     assert context.changes == [], context.changes
 
 
--- a/features/decide/steps/peerloads_steps.py
+++ b/features/decide/steps/peerloads_steps.py
@@ -11,7 +11,7 @@
 from lycheepost.decide.peerloads import NO_LOAD, DaemonLoad, PeerLoads, find_changes
 
 
-@given("{n:d} daemons before {n_targets:d} targets that tell each other their load")
+@given("{n:d} daemons before {n_targets:d} targets that exchange their load")
 def step_daemons(context, n, n_targets):
     context.desks = [Desk(n_targets) for _ in range(n)]
     context.peers = [PeerLoads() for _ in range(n)]
@@ -20,8 +20,8 @@
         desk.announce()
 
 
-def tell(context, number):
-    """Let one daemon's load be known to the others."""
+def send_load(context, number):
+    """Send one daemon's load to the others."""
     desk = context.desks[number]
     loads = desk.scheduler.under_way()
     for index, peers in enumerate(context.peers):
@@ -41,7 +41,7 @@
     for index in range(count):
         for number, desk in enumerate(context.desks):
             desk.arrive(f"{number}-{index}")
-            tell(context, number)
+            send_load(context, number)
 
 
 @then("the busiest target has at most {ratio:g} times the mean")
@@ -55,7 +55,7 @@
 def step_dies(context, count):
     for index in range(count):
         context.desks[0].arrive(f"r-{index}")
-    tell(context, 0)
+    send_load(context, 0)
     context.desks[1].now_seconds += 2.0
 
 
@@ -98,7 +98,7 @@
             if target == context.read:
                 desk.scheduler.first_token(name, desk.now_seconds, None)
     for number in range(len(context.desks)):
-        tell(context, number)
+        send_load(context, number)
 
 
 @then("some of what waited goes there at once")
@@ -145,26 +145,26 @@
     assert sent_to_old(context) > 0, context.desk.sent
 
 
-@when("the first daemon's requests come and end for 2 s, and it tells only changes")
+@when("the first daemon's requests come and end for 2 s, and it sends only changes")
 def step_changes(context):
     rng = random.Random(1)
     peers, first = context.peers[1], DaemonId("0")
-    told, context.n_told, context.n_targets, context.differences = {}, 0, 0, []
-    peers.observe(first, told, 0.0)
+    sent, context.n_sent, context.n_targets, context.differences = {}, 0, 0, []
+    peers.observe(first, sent, 0.0)
     for index in range(67):
         now_seconds = 0.03 * index
-        loads = dict(told)
+        loads = dict(sent)
         target = TargetId(f"target-{rng.randrange(6)}")
         n_running = max(
             0, loads.get(target, DaemonLoad(0, 0)).n_running + rng.choice((-1, 1))
         )
         loads[target] = DaemonLoad(100 * n_running, n_running)
         loads = {name: load for name, load in loads.items() if load.n_running}
-        changes = find_changes(told, loads)
-        context.n_told += len(changes)
+        changes = find_changes(sent, loads)
+        context.n_sent += len(changes)
         context.n_targets += 6
         peers.observe_changes(first, changes, now_seconds)
-        told = loads
+        sent = loads
         for name in map(TargetId, (f"target-{n}" for n in range(6))):
             if peers.at(name, now_seconds) != loads.get(name, DaemonLoad(0, 0)):
                 context.differences.append((index, name))
@@ -175,13 +175,13 @@
     assert not context.differences, context.differences
 
 
-@then("it was told of a third of the targets or less")
+@then("it got reports of a third of the targets or less")
 def step_third(context):
-    assert 0 < context.n_told <= context.n_targets / 3
+    assert 0 < context.n_sent <= context.n_targets / 3
 
 
-@when("the second hears of a change before it hears of all")
-def step_unheard(context):
+@when("the second receives a change before a full report")
+def step_change_first(context):
     changes = {TargetId("target-0"): DaemonLoad(10, 1)}
     context.peers[1].observe_changes(DaemonId("0"), changes, 0.0)
 
--- a/features/decide/steps/quotas_steps.py
+++ b/features/decide/steps/quotas_steps.py
@@ -35,7 +35,7 @@
         mock.patch.object(quotameter.QuotaMeter, "change", lambda *_: None),
     ],
 }
-"""What takes each guard out."""
+"""Patches that disable each guard."""
 
 
 @given("daemons without {guard}")
@@ -57,7 +57,7 @@
 
 
 def worst(context):
-    """Return the worst window of all plays, as a part of what is tolerated."""
+    """Return the worst window of all runs, as a fraction of the tolerated units."""
     return max(audit.worst_overrun(plan) for plan, audit in context.plays)
 
 
@@ -115,7 +115,7 @@
         for customer in (LARGE, SMALL):
             rate = factor * plan.quotas[customer].rate_per_second
             units = audit.units_between(customer, since, plan.seconds)
-            # What one long request overdrew just before is paid back in the span.
+            # A long request may have overdrawn the bucket just before the span.
             allowed = rate * (plan.seconds - since) - MOST_TOKENS
             assert units >= share * allowed, (customer, units / allowed)
 
@@ -230,7 +230,7 @@
 
 
 def ask_for(context, seconds):
-    """Ask for more than is allowed; return the units let through in a second."""
+    """Request more than is allowed; return the units admitted per second."""
     units, step_seconds = 100.0, 0.005
     n_passed = 0
     for _ in range(round(seconds / step_seconds)):
@@ -260,8 +260,7 @@
 
 
 @given(
-    "{n:d} entry daemons and one that stands by,"
-    " with a customer of {rate:d} units a second"
+    "{n:d} entry daemons and one on standby, with a customer of {rate:d} units a second"
 )
 def step_standing_by(context, n, rate):
     names = [DaemonId(f"d{index}") for index in range(n)]
@@ -281,7 +280,7 @@
 
 
 def exchange(context, is_full=False):
-    """Let everybody tell its listeners once."""
+    """Let each daemon send one update to its listeners."""
     context.now_seconds += STEP_SECONDS
     for name, quotas in context.fleet.items():
         listeners = quotas.listeners(context.now_seconds)
@@ -298,8 +297,8 @@
     return quotas.left(CUSTOMER)
 
 
-@when("the one that stands by lets requests through until it refuses")
-def step_lets_through(context):
+@when("the standby daemon admits requests until it refuses one")
+def step_admits(context):
     context.before = left(context, DaemonId("d1"))
     quotas = context.fleet[context.standby]
     context.spent = 0.0
@@ -307,13 +306,13 @@
         context.spent += 50.0
 
 
-@then("it let through at most what one daemon may while it is not heard")
+@then("it admitted at most the share of one unreachable daemon")
 def step_part(context):
     capacity = context.rate * 1.5
     assert 0.0 < context.spent <= capacity / context.n_entry, context.spent
 
 
-@then("soon the entry daemons know of it")
+@then("the entry daemons soon know the units that it spent")
 def step_known(context):
     exchange(context)
     exchange(context)
@@ -324,7 +323,7 @@
 
 
 @then("soon it knows what is left")
-def step_told(context):
+def step_level_known(context):
     exchange(context)
     assert abs(left(context, context.standby) - left(context, DaemonId("d0"))) < 1.0
     quotas = context.fleet[context.standby]
@@ -333,7 +332,7 @@
 
 @given(
     "{n:d} daemons that share a quota of {rate:d} units a second,"
-    " one of which believes in {less:d} less"
+    " one with a level that is {less:d} lower"
 )
 def step_parted(context, n, rate, less):
     names = [DaemonId(f"d{index}") for index in range(n)]
@@ -342,7 +341,7 @@
     for name, quotas in context.fleet.items():
         quotas.set_quotas({CUSTOMER: make_quota(rate)}, 0.0)
         quotas.set_entry([other for other in names if other != name], 0.0)
-    # Each has said something before, so that its counts go on from there.
+    # Each sends an update first, so that later counts continue from it.
     for quotas in context.fleet.values():
         quotas.take(CUSTOMER, 1.0, 0.0)
     exchange(context)
@@ -362,15 +361,15 @@
         exchange(context)
 
 
-@then("all believe in the same, but for the {units:d} units that may be on their way")
+@then("all have the same level, but for the {units:d} units that may be in transit")
 def step_agree(context, units):
     found = [left(context, name) for name in context.fleet]
     assert max(found) - min(found) <= units, found
 
 
 @when(
-    "one of the 3 has let through {units:d} units a second for {n:d} s"
-    " and then stands by"
+    "one of the 3 has admitted {units:d} units a second for {n:d} s"
+    " and then goes on standby"
 )
 def step_former(context, units, n):
     former = context.fleet[DaemonId("d2")]
@@ -379,13 +378,13 @@
         exchange(context)
     for name in (DaemonId("d0"), DaemonId("d1")):
         others = [DaemonId("d0"), DaemonId("d1")]
-        mates = [other for other in others if other != name]
-        context.fleet[name].set_entry(mates, context.now_seconds)
+        peers = [other for other in others if other != name]
+        context.fleet[name].set_entry(peers, context.now_seconds)
     former.set_standby(DaemonId("d0"), 2, context.now_seconds)
 
 
-@when("it still says so {seconds:g} s later")
-def step_says(context, seconds):
+@when("it repeats its report {seconds:g} s later")
+def step_repeats(context, seconds):
     former = context.fleet[DaemonId("d2")]
     update = former.update(True, context.now_seconds)
     counts = {CUSTOMER: fleetquota.QuotaCount(30_000.0, 0.0)}
@@ -393,8 +392,8 @@
     for name in (DaemonId("d0"), DaemonId("d1")):
         quotas = context.fleet[name]
         quotas.listeners(context.now_seconds)
-        said = dataclasses.replace(update, counts=counts, wants_relay=False)
-        quotas.receive(DaemonId("d2"), said, context.now_seconds)
+        report = dataclasses.replace(update, counts=counts, wants_relay=False)
+        quotas.receive(DaemonId("d2"), report, context.now_seconds)
 
 
 @then("the others have all of the quota left")
@@ -403,15 +402,15 @@
         assert left(context, name) >= context.rate, left(context, name)
 
 
-@when("another entry daemon speaks to the one that stands by")
-def step_speaks(context):
+@when("another entry daemon sends an update to the standby daemon")
+def step_sends(context):
     quotas = context.fleet[context.standby]
     quotas.take(CUSTOMER, 1.0, context.now_seconds)
     update = context.fleet[DaemonId("d1")].update(True, context.now_seconds)
     quotas.receive(DaemonId("d1"), update, context.now_seconds)
 
 
-@then("the one that stands by still has one listener, its relay")
+@then("the standby daemon still has one listener, its relay")
 def step_one_listener(context):
     listeners = context.fleet[context.standby].listeners(context.now_seconds)
     assert listeners == (DaemonId("d0"),), listeners
@@ -443,7 +442,7 @@
                 context.passed += units
 
 
-@then("together they let through at most what its quota allows")
+@then("together they admit at most what its quota allows")
 def step_quota_allows(context):
     tolerated = QuotaTolerance(0.1, 110_000.0, 8.0).of(make_quota(context.rate))
     assert 0.0 < context.passed <= 9.0 * context.rate + tolerated, context.passed
--- a/features/decide/steps/randomadmission_steps.py
+++ b/features/decide/steps/randomadmission_steps.py
@@ -13,7 +13,7 @@
 TARGET = TargetId("target-0")
 PROMPT_TOKENS = 4000
 READ_TOKENS_A_SECOND = 40_000
-TELL_SECONDS = 0.03
+EXCHANGE_SECONDS = 0.03
 
 
 @given(
@@ -31,7 +31,7 @@
     for index in range(count):
         for number, desk in enumerate(context.desks):
             arrive(context, desk, number, f"{number}-{index}")
-            tell_all(context)
+            exchange_loads(context)
 
 
 def arrive(context, desk, number, name):
@@ -47,8 +47,8 @@
             context.order[desk.sent[name]].append((number, name))
 
 
-def tell_all(context):
-    """Let all daemons hear of all, as it was at one moment."""
+def exchange_loads(context):
+    """Exchange the load of all daemons as of one point in time."""
     now_seconds = context.desks[0].now_seconds
     for number, desk in enumerate(context.desks):
         loads = desk.scheduler.under_way()
@@ -69,23 +69,25 @@
         note_sent(context, number, before)
 
 
-@when("the targets read their prompts for {seconds:d} s, and load is told each 30 ms")
+@when(
+    "the targets read their prompts for {seconds:d} s, and load is exchanged each 30 ms"
+)
 def step_read(context, seconds):
     context.waiting, context.n_idle = [], 0
     left = dict.fromkeys(context.order, PROMPT_TOKENS)
-    for _ in range(round(seconds / TELL_SECONDS)):
+    for _ in range(round(seconds / EXCHANGE_SECONDS)):
         for target, waiting in context.order.items():
             context.n_idle += not waiting
             context.waiting.append(PROMPT_TOKENS * len(waiting))
-            left[target] -= READ_TOKENS_A_SECOND * TELL_SECONDS
+            left[target] -= READ_TOKENS_A_SECOND * EXCHANGE_SECONDS
             if waiting and left[target] <= 0:
                 number, name = waiting.pop(0)
                 desk = context.desks[number]
                 desk.scheduler.first_token(name, desk.now_seconds, None)
                 left[target] = PROMPT_TOKENS
         for desk in context.desks:
-            desk.now_seconds += TELL_SECONDS
-        tell_all(context)
+            desk.now_seconds += EXCHANGE_SECONDS
+        exchange_loads(context)
 
 
 @then("a target had at most {most:d} prompt tokens waiting in the mean")
@@ -99,32 +101,34 @@
     assert 100 * context.n_idle <= share * len(context.waiting), context.n_idle
 
 
-@given("1 daemon that admits at random to {n:d} places with {others:d} others")
+@given("1 daemon that admits at random to {n:d} free slots with {others:d} others")
 def step_alone(context, n, others):
-    context.turns = RandomAdmission(random.Random(1))
-    context.turns.draw({TARGET: float(n)}, 1 + others)
+    context.admission = RandomAdmission(random.Random(1))
+    context.admission.draw({TARGET: float(n)}, 1 + others)
 
 
 @then("it may send {n:d} requests")
 def step_may(context, n):
     for _ in range(n):
-        assert context.turns.may_take(TARGET)
-        context.turns.note_taken(TARGET)
+        assert context.admission.may_take(TARGET)
+        context.admission.note_taken(TARGET)
 
 
-@given("{n:d} daemons that each admit at random to {places:d} places {count:d} times")
-def step_lots(context, n, places, count):
-    context.taken, context.places = Counter(), places * count
+@given(
+    "{n:d} daemons that each admit at random to {slots:d} free slots {count:d} times"
+)
+def step_draws(context, n, slots, count):
+    context.taken, context.n_slots = Counter(), slots * count
     for daemon in range(n):
-        turns = RandomAdmission(random.Random(daemon))
+        admission = RandomAdmission(random.Random(daemon))
         for _ in range(count):
-            turns.draw({TARGET: float(places)}, n)
-            while turns.may_take(TARGET):
-                turns.note_taken(TARGET)
+            admission.draw({TARGET: float(slots)}, n)
+            while admission.may_take(TARGET):
+                admission.note_taken(TARGET)
                 context.taken[daemon] += 1
 
 
-@then("all of them together took the room {least:g} to {most:g} times")
+@then("all of them together took the free slots {least:g} to {most:g} times")
 def step_taken(context, least, most):
-    share = sum(context.taken.values()) / context.places
+    share = sum(context.taken.values()) / context.n_slots
     assert least <= share <= most, share
--- a/features/decide/steps/ratelimits_steps.py
+++ b/features/decide/steps/ratelimits_steps.py
@@ -35,13 +35,13 @@
     )
 
 
-@when("a peer tells of a limit of {per_second:g} a second that it heard before")
-def step_old_word(context, per_second):
+@when("a peer reports a limit of {per_second:g} a second that it received before")
+def step_old_report(context, per_second):
     context.limits.note_peer_report(TARGET, ReportedLimit(per_second, 100.1))
 
 
-@when("a peer tells of a limit of {per_second:g} a second that it heard just now")
-def step_new_word(context, per_second):
+@when("a peer reports a limit of {per_second:g} a second that it received now")
+def step_new_report(context, per_second):
     context.limits.note_peer_report(TARGET, ReportedLimit(per_second, 101.0))
 
 
@@ -55,7 +55,7 @@
     assert context.limits.of(TARGET) is None
 
 
-@then("what a peer told is not told on")
+@then("the peer's report is not forwarded")
 def step_not_own(context):
     assert not context.limits.own(context.now_seconds)
 
@@ -168,15 +168,15 @@
 
 
 @then("each is told to come back when a limit will let it pass")
-def step_told_when(context):
+def step_retry_time(context):
     desk = context.desk
     group = next(iter(desk.scheduler._groups.values()))
     loads = group.placement.loads.values()
     soonest = min(load.pace.next_seconds for load in loads)
     for index, name in enumerate(desk.works):
         came_seconds = desk.works[name].arrived_seconds
-        told = desk.refused[name].retry_after_seconds
-        assert came_seconds + told >= min(soonest, came_seconds + 30.0), (index, told)
+        wait = desk.refused[name].retry_after_seconds
+        assert came_seconds + wait >= min(soonest, came_seconds + 30.0), (index, wait)
 
 
 @given(
@@ -256,12 +256,12 @@
 
 
 @then("each is told to come back when the back-offs are over")
-def step_told_backoff(context):
+def step_backoff_time(context):
     desk = context.desk
     for name, work in desk.works.items():
-        told_seconds = desk.refused[name].retry_after_seconds
-        until_seconds = work.arrived_seconds + told_seconds
-        assert until_seconds >= context.backoff_until_seconds, (name, told_seconds)
+        wait_seconds = desk.refused[name].retry_after_seconds
+        until_seconds = work.arrived_seconds + wait_seconds
+        assert until_seconds >= context.backoff_until_seconds, (name, wait_seconds)
 
 
 @then("it is sent {least_seconds:g} s to {most_seconds:g} s later")
--- a/features/decide/steps/silence_steps.py
+++ b/features/decide/steps/silence_steps.py
@@ -44,9 +44,9 @@
 
 @when("a request of it has {left:g} s left and {runs:d} runs")
 def step_request(context, left, runs):
-    sends = Sends(runs, runs)
-    context.first = first_byte_timeout_seconds(context.route, sends, left)
-    context.gap = idle_timeout_seconds(context.route, sends)
+    attempts = Sends(runs, runs)
+    context.first = first_byte_timeout_seconds(context.route, attempts, left)
+    context.gap = idle_timeout_seconds(context.route, attempts)
 
 
 @then("its first part is waited for {seconds:g} s")
@@ -60,8 +60,8 @@
     assert found == seconds.replace("forever s", FOREVER), found
 
 
-@given("a request under way at a silent target while {state}")
-def step_under_way(context, state):
+@given("a request in flight at a silent target while {state}")
+def step_in_flight(context, state):
     n_targets = 1 if state == "there is no other target" else 2
     desk = context.desk = Desk(n_targets)
     n_retries = 0.0 if state == "no retry is left" else 64.0
@@ -85,7 +85,7 @@
     context.desk.scheduler.set_retry_terms(RetryTerms(0.0, 1.0))
 
 
-@when("it asks for another try")
+@when("it asks for another attempt")
 def step_ask(context):
     desk = context.desk
     context.work = replace(desk.works["silent"], excluded=frozenset({context.silent}))
@@ -97,7 +97,7 @@
     assert context.is_left is (outcome == "left")
 
 
-@when("it is tried again with the retry that it took")
+@when("it is sent again with the retry that it took")
 def step_again(context):
     desk = context.desk
     desk.scheduler.finish(
@@ -131,7 +131,7 @@
 
 
 class PausingAnswer:
-    """Says nothing to its first read for longer than the limit."""
+    """An answer whose first read blocks for longer than the limit."""
 
     def __init__(self):
         self.n_reads = 0
