--- a/features/decide/steps/notice_steps.py
+++ b/features/decide/steps/notice_steps.py
@@ -7,7 +7,7 @@
 from lycheepost.core.starts import TargetStart
 from lycheepost.decide.backoff import BackOffs
 from lycheepost.decide.leaving import LeavingTargets
-from lycheepost.decide.notices import IsLeaving, TargetNotices
+from lycheepost.decide.notices import TargetLeaving, TargetNotices
 
 TARGET = TargetId("t")
 START = TargetStart(TARGET)
@@ -39,13 +39,13 @@
     assert not context.notices.leaving.is_leaving(START)
 
 
-@then("that is news")
-def step_news(context):
-    assert context.changes == [IsLeaving(START)], context.changes
+@then("that is a change")
+def step_change(context):
+    assert context.changes == [TargetLeaving(START)], context.changes
 
 
-@then("that is no news")
-def step_no_news(context):
+@then("that is no change")
+def step_no_change(context):
     assert context.changes == [], context.changes
 
 
--- a/lycheepost/app/loads.py
+++ b/lycheepost/app/loads.py
@@ -6,9 +6,9 @@
 from lycheepost.core.clock import Clock
 from lycheepost.core.ids import DaemonId, PrefixDigest, TargetGroupId, TargetId
 from lycheepost.decide.peerloads import (
-    NOTHING,
+    NO_LOAD,
+    DaemonLoad,
     PeerLoads,
-    UnderWay,
     find_changes,
 )
 from lycheepost.decide.records import LoadReport, Placed, PrefixLevel, TargetView
@@ -47,7 +47,7 @@
         self._peer_loads = PeerLoads()
         self._targets: tuple[TargetId, ...] = ()
         self._peers: tuple[DaemonId, ...] = ()
-        self._published: dict[TargetId, UnderWay] = {}
+        self._published: dict[TargetId, DaemonLoad] = {}
         self._published_waiting: tuple[TargetGroupId, ...] = ()
         self._last_full_report_seconds = float("-inf")
         self._task: asyncio.Task[None] | None = None
@@ -75,7 +75,7 @@
 
     def count_running(self, target: TargetId) -> int:
         """Return the number of requests of this daemon and its peers at a target."""
-        own = self._dispatcher.under_way().get(target, NOTHING)
+        own = self._dispatcher.under_way().get(target, NO_LOAD)
         others = self._peer_loads.at(target, self._clock.now_seconds())
         return own.n_running + others.n_running
 
@@ -126,7 +126,7 @@
         if is_known:
             totals = self._peer_loads.totals(now_seconds)
             for target in self._targets:
-                self._dispatcher.note_others(target, totals.get(target, NOTHING))
+                self._dispatcher.note_others(target, totals.get(target, NO_LOAD))
         self._dispatcher.draw_admission(
             lambda group: self._peer_loads.n_waiting(group, now_seconds)
         )
@@ -135,7 +135,7 @@
 
     def _receive(self, update: LoadNews, sender: DaemonId) -> None:
         loads = {
-            TargetId(load.target): UnderWay(load.queued_tokens, load.n_running)
+            TargetId(load.target): DaemonLoad(load.queued_tokens, load.n_running)
             for load in update.loads
         }
         now_seconds = self._clock.now_seconds()
--- a/lycheepost/app/losses.py
+++ b/lycheepost/app/losses.py
@@ -8,7 +8,7 @@
 from lycheepost.callers.dispatch import Dispatcher
 from lycheepost.core.clock import Clock
 from lycheepost.core.ids import BodyFingerprint, DaemonId, TargetId
-from lycheepost.decide.quarantine import LossSeen
+from lycheepost.decide.quarantine import LossReport
 from lycheepost.generated.messages import QuarantineNotice, SuspectPlaced
 from lycheepost.peers.exchange import PeerExchange
 
@@ -27,7 +27,7 @@
         dispatcher.on_loss(self._publish_loss)
         dispatcher.on_suspect(self._publish_suspect)
 
-    def _publish_loss(self, loss: LossSeen) -> None:
+    def _publish_loss(self, loss: LossReport) -> None:
         now_seconds = self._clock.now_seconds()
         self._exchange.broadcast(
             QuarantineNotice(
--- a/lycheepost/app/quotas.py
+++ b/lycheepost/app/quotas.py
@@ -11,9 +11,9 @@
 from lycheepost.core.quotas import Quota
 from lycheepost.core.routing import RouteTable
 from lycheepost.decide.fleetquota import (
+    FULL_UPDATE_INTERVAL_SECONDS,
     HEARTBEAT_SECONDS,
-    TELL_SECONDS,
-    WHOLE_SECONDS,
+    UPDATE_INTERVAL_SECONDS,
     FleetQuotas,
 )
 from lycheepost.generated.messages import QuotaSpent
@@ -103,16 +103,14 @@
             self._quotas.set_entry(topology.peers, now_seconds)
             return
         relays = (daemon for daemon in topology.sources if daemon in topology.entry)
-        self._quotas.set_standing_by(
-            next(relays, None), len(topology.entry), now_seconds
-        )
+        self._quotas.set_standby(next(relays, None), len(topology.entry), now_seconds)
 
     async def _run(self) -> None:
         while True:
             if not self._quotas.has_quotas:
                 await asyncio.sleep(IDLE_SECONDS)
                 continue
-            await asyncio.sleep(TELL_SECONDS)
+            await asyncio.sleep(UPDATE_INTERVAL_SECONDS)
             try:
                 self._exchange_once(self._clock.now_seconds())
             except Exception:
@@ -131,8 +129,10 @@
         listeners = self._quotas.listeners(now_seconds)
         if not listeners:
             return
-        is_whole = now_seconds - self._last_full_report_seconds > WHOLE_SECONDS
-        update = self._quotas.news(is_whole, now_seconds)
+        is_whole = (
+            now_seconds - self._last_full_report_seconds > FULL_UPDATE_INTERVAL_SECONDS
+        )
+        update = self._quotas.update(is_whole, now_seconds)
         is_due = now_seconds - self._last_published_seconds > HEARTBEAT_SECONDS
         if not update.counts and not is_due:
             return
@@ -169,4 +169,4 @@
         n_invalid = len(message.customers) - len(update.counts)
         if n_invalid:
             _log.warning("quotas: invalid counts ignored", sender=sender, n=n_invalid)
-        self._quotas.hear(sender, update, self._clock.now_seconds())
+        self._quotas.receive(sender, update, self._clock.now_seconds())
--- a/lycheepost/decide/silence.py
+++ b/lycheepost/decide/silence.py
@@ -1,72 +1,76 @@
-"""How long a target may say nothing before its request goes elsewhere.
-
-The failure: a target takes a request and falls silent, because it hangs, is gone
-without a word, or its connection carries nothing any more. It shows as callers that
-wait until they leave. But a busy engine is silent too: it reads prompts between the
-tokens of its streams, and whoever takes streams away from it has them read once more
-by the others, which are as busy. So a stream is given up only well after the pause
-that is on time, when its answer is late in any case, and well before its caller
-leaves.
+"""Timeouts after which a request moves to another target.
+
+A target may accept a request and then send nothing, because it hangs, has crashed, or
+its connection is dead. Without a timeout its callers wait until they disconnect. But a
+busy engine pauses too, since it prefills prompts between the tokens of its streams.
+Moving its streams makes other engines, which are as busy, prefill the prompts again. So
+the timeout is well above the gap objective, when the response is late anyway, and well
+below the time at which the caller disconnects.
 """
 
 from lycheepost.core.routing import Route, RouteKind
 from lycheepost.decide.attempts import Sends
 
-CALLER_SECONDS = 2.0
-CALLER_OBJECTIVES = 4.0
-CALLER_GAPS = 8.0
-"""A caller leaves a stream that stays silent for the longest of these: two
-seconds, four objectives, eight times the pause that is on time."""
+MIN_CALLER_TIMEOUT_SECONDS = 2.0
+CALLER_TIMEOUT_OBJECTIVES = 4.0
+CALLER_TIMEOUT_GAPS = 8.0
+"""A caller disconnects from a silent stream after the longest of these: two seconds,
+four first-token objectives, eight gap objectives."""
 
-TRY_SHARE = 0.45
-"""Part of the remaining time that a first try of a repeatable request may take
-without an answer. It leaves a second target as long as the first had."""
+FIRST_ATTEMPT_SHARE = 0.45
+"""Fraction of the remaining time that one attempt of a repeatable request may wait for
+its response. It leaves a second target as much time as the first had."""
 
-PLAIN_SECONDS = 0.2
-"""A plain service's answer is not late before this: ten times its usual work."""
+MIN_PLAIN_TIMEOUT_SECONDS = 0.2
+"""Minimum timeout of a plain service: ten times its usual processing time."""
 
-PLAIN_OBJECTIVES = 3.0
-"""Silence of so many objectives is far outside of what load explains."""
+PLAIN_TIMEOUT_OBJECTIVES = 3.0
+"""A wait of this many objectives can't be explained by load."""
 
-STREAM_SHARE = 0.6
-"""Part of the caller's patience with a silent stream after which another target gets
-it. The rest is four times what a loaded engine takes to its first token."""
+STREAM_TIMEOUT_SHARE = 0.6
+"""Fraction of the caller's stream timeout after which another target is tried. The rest
+is four times what a loaded engine takes to its first token."""
 
-GAP_PAUSES = 2.5
-"""Longest pauses that are on time, between two events. Under full load engines pause
-for 0.4 to 0.6 s where 0.5 s are on time; with a limit of 0.45 s a fleet of 45 engines
-gave up 635 runs of 4,276 and read their prompts again."""
+IDLE_TIMEOUT_GAPS = 2.5
+"""Idle timeout between two events, in gap objectives. Under full load engines pause for
+0.4 to 0.6 s with an objective of 0.5 s; with a limit of 0.45 s a fleet of 45 engines
+abandoned 635 runs of 4,276 and prefilled their prompts again."""
 
 
-def stream_patience_seconds(route: Route) -> float:
-    """Return how long a caller waits for the next part of a stream."""
+def caller_stream_timeout_seconds(route: Route) -> float:
+    """Return how long a caller waits for the next event of a stream."""
     return max(
-        CALLER_SECONDS,
-        CALLER_OBJECTIVES * route.objective_seconds,
-        CALLER_GAPS * route.gap_seconds,
+        MIN_CALLER_TIMEOUT_SECONDS,
+        CALLER_TIMEOUT_OBJECTIVES * route.objective_seconds,
+        CALLER_TIMEOUT_GAPS * route.gap_seconds,
     )
 
 
-def silence_seconds(route: Route, sends: Sends, remaining_seconds: float) -> float:
-    """Return how long to wait for the first part of an answer.
+def first_byte_timeout_seconds(
+    route: Route, attempts: Sends, remaining_seconds: float
+) -> float:
+    """Return how long to wait for the first byte of a response.
 
-    A request that may run again goes elsewhere while there is time for it; any
-    other has no use for an earlier end.
+    A request that may run again moves to another target while there is time for it. Any
+    other request gains nothing from an earlier timeout.
     """
-    may_repeat = route.is_repeatable and sends.n_runs + 1 < route.max_runs
+    may_repeat = route.is_repeatable and attempts.n_runs + 1 < route.max_runs
     if not may_repeat:
         return remaining_seconds
     if route.kind is RouteKind.STREAM:
-        usual = STREAM_SHARE * stream_patience_seconds(route)
+        timeout_seconds = STREAM_TIMEOUT_SHARE * caller_stream_timeout_seconds(route)
     else:
-        usual = max(PLAIN_SECONDS, PLAIN_OBJECTIVES * route.objective_seconds)
-    return min(usual, TRY_SHARE * remaining_seconds)
+        timeout_seconds = max(
+            MIN_PLAIN_TIMEOUT_SECONDS,
+            PLAIN_TIMEOUT_OBJECTIVES * route.objective_seconds,
+        )
+    return min(timeout_seconds, FIRST_ATTEMPT_SHARE * remaining_seconds)
 
 
-def gap_limit_seconds(route: Route, sends: Sends) -> float | None:
+def idle_timeout_seconds(route: Route, attempts: Sends) -> float | None:
     """Return how long a stream may pause before another target continues it.
 
-    None where nobody else may continue, so that an earlier end would help nobody.
+    None if no other target may continue the stream.
     """
-    may_continue = route.is_resumable and sends.n_runs + 1 < route.max_runs
-    return GAP_PAUSES * route.gap_seconds or None if may_continue else None
+    may_continue = route.is_resumable and attempts.n_runs + 1 < route.max_runs
+    return IDLE_TIMEOUT_GAPS * route.gap_seconds or None if may_continue else None
--- a/lycheepost/peers/quota_messages.py
+++ b/lycheepost/peers/quota_messages.py
@@ -3,12 +3,12 @@
 import math
 
 from lycheepost.core.ids import CustomerId
-from lycheepost.decide.fleetquota import QuotaNews
+from lycheepost.decide.fleetquota import QuotaUpdate
 from lycheepost.decide.quotameter import QuotaCount
 from lycheepost.generated.messages import CustomerSpent, QuotaSpent
 
 
-def to_message(usage: QuotaNews) -> QuotaSpent:
+def to_message(usage: QuotaUpdate) -> QuotaSpent:
     """Return the message to send to peers."""
     return QuotaSpent(
         start=usage.start,
@@ -24,13 +24,13 @@
     )
 
 
-def from_message(message: QuotaSpent) -> QuotaNews:
+def from_message(message: QuotaSpent) -> QuotaUpdate:
     """Return the usage in a message.
 
     Counts that are not finite are left out. One would stay in the token bucket and have
     its customer always refused, or always admitted, until the daemon restarts.
     """
-    return QuotaNews(
+    return QuotaUpdate(
         message.start,
         message.is_entry,
         message.is_synced,
