--- a/features/bench/steps/policy.py
+++ b/features/bench/steps/policy.py
@@ -102,7 +102,7 @@
     for trace in measured(context.simulation):
         if trace.fate is Fate.REFUSED:
             waited = trace.ended_seconds - trace.work.arrived_seconds
-            limit = trace.work.patience_seconds * percent / 100
+            limit = trace.work.first_token_timeout_seconds * percent / 100
             assert waited <= limit + 0.05, (waited, limit)
 
 
--- a/features/decide/steps/backlog_steps.py
+++ b/features/decide/steps/backlog_steps.py
@@ -72,12 +72,12 @@
                 f"request-{n_made}",
                 levels=(),
                 prompt_tokens=n_tokens,
-                patience_seconds=60.0,
+                first_token_timeout_seconds=60.0,
             )
         note_sent(context, before, n_tokens)
         before = set(desk.sent)
-        desk.scheduler.note_others(*nothing_at(desk))
-        desk.note(desk.scheduler.pump(desk.now_seconds))
+        desk.scheduler.set_peer_load(*nothing_at(desk))
+        desk.note(desk.scheduler.dispatch_waiting(desk.now_seconds))
         note_sent(context, before, n_tokens)
         engine.step(desk.now_seconds)
         due = [item for item in engine.answers if item[1] <= desk.now_seconds]
--- a/features/decide/steps/common.py
+++ b/features/decide/steps/common.py
@@ -42,7 +42,12 @@
 
 
 def make_work(
-    name, now_seconds, customer="customer", body=None, patience_seconds=5.0, **changes
+    name,
+    now_seconds,
+    customer="customer",
+    body=None,
+    first_token_timeout_seconds=5.0,
+    **changes,
 ):
     text = (body or name).encode()
     levels = fingerprint_levels(
@@ -59,7 +64,7 @@
         "output_tokens": 50,
         "priority": Priority.NORMAL,
         "arrived_seconds": now_seconds,
-        "patience_seconds": patience_seconds,
+        "patience_seconds": first_token_timeout_seconds,
         "fingerprint": fingerprint_body(CustomerId(customer), text),
     }
     return Work(**(fields | changes))
--- a/features/decide/steps/decisions.py
+++ b/features/decide/steps/decisions.py
@@ -6,7 +6,7 @@
 
 from features.decide.steps.common import Desk, make_view
 from lycheepost.core.ids import Incarnation, TargetId, WeightsVersion
-from lycheepost.decide.belief import CacheBelief
+from lycheepost.decide.cacheestimate import CacheEstimate
 from lycheepost.decide.records import (
     FinishKind,
     LoadReport,
@@ -59,7 +59,7 @@
     for request, ended in desk.ended.items():
         work = desk.works[request]
         waited = ended - work.arrived_seconds
-        assert waited <= work.patience_seconds * percent / 100, waited
+        assert waited <= work.first_token_timeout_seconds * percent / 100, waited
 
 
 @when('a request "{name}" of another customer arrives')
@@ -192,10 +192,10 @@
 
 @when("target 0 announces {n_stored:d} stored levels and then skips {n_lost:d} events")
 def skip_events(context, n_stored, n_lost):
-    context.belief = CacheBelief(Incarnation("boot"), 10**9)
+    context.cache_estimate = CacheEstimate(Incarnation("boot"), 10**9)
     events = [stored(sequence, sequence) for sequence in range(1, n_stored + 1)]
     events.append(stored(n_stored + n_lost + 1, n_stored + n_lost + 1))
-    context.belief.observe(Incarnation("boot"), events)
+    context.cache_estimate.observe(Incarnation("boot"), events)
 
 
 @then("the {count:d} oldest levels are no longer believed and the rest are")
@@ -203,7 +203,7 @@
     found = [
         digest
         for digest in range(1, 51)
-        if context.belief.cached_tokens((PrefixLevel(digest, 100),))
+        if context.cache_estimate.cached_tokens((PrefixLevel(digest, 100),))
     ]
     assert found == list(range(count + 1, 51)), found
 
--- a/features/decide/steps/entry_steps.py
+++ b/features/decide/steps/entry_steps.py
@@ -130,7 +130,7 @@
         peers.observe(DaemonId(str(number)), loads, desk.now_seconds)
         for view in desk.views.values():
             load = peers.at(view.target, desk.now_seconds)
-            desk.scheduler.note_others(view.target, load, desk.now_seconds)
+            desk.scheduler.set_peer_load(view.target, load, desk.now_seconds)
         for item in placed:
             desk.scheduler.note_placed(item)
 
--- a/features/decide/steps/faults.py
+++ b/features/decide/steps/faults.py
@@ -23,8 +23,8 @@
     desk.views = {0: desk.views[0]}
     desk.announce()
     for index in range(count - 1):
-        desk.arrive(f"neighbour-{index}", patience_seconds=60.0)
-    desk.arrive(KILLER, patience_seconds=60.0)
+        desk.arrive(f"neighbour-{index}", first_token_timeout_seconds=60.0)
+    desk.arrive(KILLER, first_token_timeout_seconds=60.0)
     assert set(desk.sent.values()) == {TARGET_0} and len(desk.sent) == count
     desk.views.update(others)
     desk.announce()
@@ -116,7 +116,9 @@
 
     def send(self, body):
         self.n_sent += 1
-        self.desk.arrive(f"played-{self.n_sent}", body=body, patience_seconds=20.0)
+        self.desk.arrive(
+            f"played-{self.n_sent}", body=body, first_token_timeout_seconds=20.0
+        )
 
     def start_sent(self, slowness):
         """Give every request that was sent its end; returns their targets."""
--- a/features/decide/steps/kvcopies_steps.py
+++ b/features/decide/steps/kvcopies_steps.py
@@ -19,7 +19,7 @@
     PromptPart,
     make_route_table,
 )
-from lycheepost.decide.kvcopies import KvCopies
+from lycheepost.decide.kvstorecontents import KvStoreContents
 from lycheepost.decide.promptlevels import CacheScope, prompt_levels
 from lycheepost.decide.routes import choose_kv_store
 from lycheepost.generated.engine import CacheEvent, CacheEventKind
@@ -46,7 +46,7 @@
 @given("{n:d} templates of 6300 tokens before prompts with 2900 tokens of their own")
 def step_templates(context, n):
     context.templates = [f"template-{index}" for index in range(n)]
-    context.copies = KvCopies()
+    context.copies = KvStoreContents()
 
 
 @when("{n:d} prompts come in 10 s, and the store tells 0.6 s late what it was sent")
@@ -88,7 +88,7 @@
 
 @given("a store that tells nothing")
 def step_silent(context):
-    context.copies, context.n_sent = KvCopies(), 0
+    context.copies, context.n_sent = KvStoreContents(), 0
 
 
 def send(context, template, now_seconds, weights="1"):
--- a/features/decide/steps/latework_steps.py
+++ b/features/decide/steps/latework_steps.py
@@ -48,7 +48,7 @@
             levels=(),
             prompt_tokens=PROMPT_TOKENS,
             customer=f"customer-{self.n_asked % 5}",
-            patience_seconds=PATIENCE_SECONDS,
+            first_token_timeout_seconds=PATIENCE_SECONDS,
             objective_seconds=self.objective_seconds,
         )
         self.note_sent()
@@ -120,7 +120,7 @@
 def step_late(context, a, b, c):
     queue, context.late = FairQueue(), LateWork()
     for left in (a, b, c):
-        work = make_work(f"left-{left}", 0.0, patience_seconds=float(left))
+        work = make_work(f"left-{left}", 0.0, first_token_timeout_seconds=float(left))
         context.late.add(queue.make_waiting(work, 1.0, 0.0))
 
 
--- a/features/decide/steps/mechanisms_steps.py
+++ b/features/decide/steps/mechanisms_steps.py
@@ -7,7 +7,7 @@
 
 from features.decide.steps.common import Desk, make_work
 from lycheepost.core.ids import Incarnation, PrefixDigest
-from lycheepost.decide.kvcopies import KvCopies
+from lycheepost.decide.kvstorecontents import KvStoreContents
 from lycheepost.decide.mechanisms import Mechanism, names_of, parse_mechanisms
 from lycheepost.decide.records import FinishKind, PrefixLevel
 from lycheepost.generated.engine import CacheEvent, CacheEventKind
@@ -36,7 +36,7 @@
 
 
 def make_copies(off):
-    copies = KvCopies(off)
+    copies = KvStoreContents(off)
     event = CacheEvent(
         sequence=1, kind=CacheEventKind.STORED, digest=LEVELS[0].digest, n_tokens=100
     )
--- a/features/decide/steps/peerloads_steps.py
+++ b/features/decide/steps/peerloads_steps.py
@@ -33,7 +33,7 @@
         for target in {view.target for view in other.views.values()}:
             load = totals.get(target, NOTHING)
             assert load == peers.at(target, other.now_seconds), (target, load)
-            other.scheduler.note_others(target, load, other.now_seconds)
+            other.scheduler.set_peer_load(target, load, other.now_seconds)
 
 
 @when("each daemon gets {count:d} requests, one at a time in turn")
@@ -104,7 +104,7 @@
 @then("some of what waited goes there at once")
 def step_goes(context):
     for desk in context.desks:
-        desk.note(desk.scheduler.pump(desk.now_seconds))
+        desk.note(desk.scheduler.dispatch_waiting(desk.now_seconds))
     assert waiting_tokens(context)[context.read] > 0
 
 
--- a/features/decide/steps/randomadmission_steps.py
+++ b/features/decide/steps/randomadmission_steps.py
@@ -36,7 +36,9 @@
 
 def arrive(context, desk, number, name):
     before = set(desk.sent)
-    desk.arrive(name, levels=(), prompt_tokens=PROMPT_TOKENS, patience_seconds=60.0)
+    desk.arrive(
+        name, levels=(), prompt_tokens=PROMPT_TOKENS, first_token_timeout_seconds=60.0
+    )
     note_sent(context, number, before)
 
 
@@ -61,11 +63,11 @@
         peers, before = context.peers[number], set(desk.sent)
         for target in context.order:
             load = peers.at(target, now_seconds)
-            desk.scheduler.note_others(target, load, now_seconds)
+            desk.scheduler.set_peer_load(target, load, now_seconds)
         desk.scheduler.draw_admission(
             lambda group, peers=peers: peers.n_waiting(group, now_seconds), now_seconds
         )
-        desk.note(desk.scheduler.pump(now_seconds))
+        desk.note(desk.scheduler.dispatch_waiting(now_seconds))
         note_sent(context, number, before)
 
 
--- a/features/decide/steps/ratelimits_steps.py
+++ b/features/decide/steps/ratelimits_steps.py
@@ -172,7 +172,7 @@
     desk = context.desk
     group = next(iter(desk.scheduler._groups.values()))
     loads = group.placement.loads.values()
-    soonest = min(load.pace.next_seconds for load in loads)
+    soonest = min(load.rate_limiter.next_seconds for load in loads)
     for index, name in enumerate(desk.works):
         came_seconds = desk.works[name].arrived_seconds
         told = desk.refused[name].retry_after_seconds
@@ -192,7 +192,7 @@
     desk = context.desk
     group = next(iter(desk.scheduler._groups.values()))
     levels = make_work("first", desk.now_seconds, body=LONG_BODY).levels
-    group.placement.loads[TARGET].belief.add(levels)
+    group.placement.loads[TARGET].cache_estimate.add(levels)
     group.placement.pressure = 1.0
 
 
--- a/features/decide/steps/routed.py
+++ b/features/decide/steps/routed.py
@@ -20,8 +20,8 @@
     Step,
     next_step,
 )
-from lycheepost.decide.freshness import KeyRule, may_trust_key
-from lycheepost.decide.routes import Way, choose_group, find_way
+from lycheepost.decide.freshness import KeyTrustRule, may_trust_key
+from lycheepost.decide.routes import RouteMatch, choose_group, match_route
 from lycheepost.decide.silence import silence_seconds
 
 LIMITS = CallerLimits(16384, 4194304, 3.0, 15.0)
@@ -58,14 +58,16 @@
 
 @when("a request for {path} at {host} comes with key {key}")
 def step_request(context, path, host, key):
-    context.way = find_way(context.routes, host, path, None if key == "none" else key)
+    context.way = match_route(
+        context.routes, host, path, None if key == "none" else key
+    )
 
 
 @then("its way is {outcome}")
 def step_way(context, outcome):
     way = context.way
-    found = way.name if not isinstance(way, Way) else way.route.name
-    if isinstance(way, Way) and way.is_keyed:
+    found = way.name if not isinstance(way, RouteMatch) else way.route.name
+    if isinstance(way, RouteMatch) and way.is_keyed:
         found += f" as {way.holder.customer}"
     assert found == outcome, found
 
@@ -112,7 +114,7 @@
     "keys must be out of use after {bound:d} s and the last confirmation is {age} s old"
 )
 def step_confirmation(context, bound, age):
-    rule = KeyRule(bound, True)
+    rule = KeyTrustRule(bound, True)
     confirmed = None if age == "never" else NOW_SECONDS - float(age)
     context.is_trusted = may_trust_key(rule, confirmed, NOW_SECONDS)
 
--- a/features/decide/steps/silence_steps.py
+++ b/features/decide/steps/silence_steps.py
@@ -77,7 +77,7 @@
     for view in desk.views.values():
         if view.target != context.silent:
             load = UnderWay(queued_tokens=0, n_running=view.concurrency_limit)
-            desk.scheduler.note_others(view.target, load, desk.now_seconds)
+            desk.scheduler.set_peer_load(view.target, load, desk.now_seconds)
 
 
 @given("a budget of one retry")
@@ -127,7 +127,7 @@
 
 @then("it may wait {seconds:g} s more")
 def step_more(context, seconds):
-    assert context.work.patience_seconds - context.elapsed == seconds
+    assert context.work.first_token_timeout_seconds - context.elapsed == seconds
 
 
 class PausingAnswer:
--- a/lycheepost/app/cachefollow.py
+++ b/lycheepost/app/cachefollow.py
@@ -3,7 +3,7 @@
 from lycheepost.callers.dispatch import Dispatcher
 from lycheepost.core.ids import Incarnation, TargetId
 from lycheepost.core.routing import RouteTable
-from lycheepost.decide.kvcopies import KvCopies
+from lycheepost.decide.kvstorecontents import KvStoreContents
 from lycheepost.decide.records import TargetView
 from lycheepost.generated.engine import CacheEvent
 from lycheepost.state.targetlist import TargetList
@@ -29,7 +29,7 @@
         port: CacheEventsPort,
         dispatcher: Dispatcher,
         targets: TargetList,
-        copies: KvCopies,
+        copies: KvStoreContents,
         may_follow_engines: bool = True,
     ) -> None:
         self._may_follow_engines = may_follow_engines
--- a/lycheepost/app/loads.py
+++ b/lycheepost/app/loads.py
@@ -125,12 +125,12 @@
         if is_known:
             totals = self._peers.totals(now_seconds)
             for target in self._targets:
-                self._dispatcher.note_others(target, totals.get(target, NOTHING))
+                self._dispatcher.set_peer_load(target, totals.get(target, NOTHING))
         self._dispatcher.draw_admission(
             lambda group: self._peers.n_waiting(group, now_seconds)
         )
         if is_known:
-            self._dispatcher.pump()
+            self._dispatcher.dispatch_waiting()
 
     def _take(self, news: LoadNews, sender: DaemonId) -> None:
         loads = {
--- a/lycheepost/app/platformpeers.py
+++ b/lycheepost/app/platformpeers.py
@@ -17,7 +17,7 @@
 from lycheepost.core.routing import RouteTable
 from lycheepost.decide.fleetquota import FleetQuotas
 from lycheepost.decide.mechanisms import Mechanism
-from lycheepost.decide.rollout import LEAST_ALONE_SECONDS, MOST_ALONE_SECONDS
+from lycheepost.decide.rollout import MAX_DRAIN_SECONDS, MIN_DRAIN_SECONDS
 from lycheepost.generated.configuration import Configuration
 from lycheepost.generated.messages import LeaseNews, TargetsChanging
 from lycheepost.operators.weightsnews import to_changes
@@ -214,9 +214,9 @@
         peers.exchange.broadcast,
         count_running,
         most_alone_seconds=(
-            LEAST_ALONE_SECONDS
+            MIN_DRAIN_SECONDS
             if Mechanism.RUNS_END in base.switched_off
-            else MOST_ALONE_SECONDS
+            else MAX_DRAIN_SECONDS
         ),
     )
     peers.exchange.subscribe(
--- a/lycheepost/app/platformtraffic.py
+++ b/lycheepost/app/platformtraffic.py
@@ -24,8 +24,8 @@
 from lycheepost.core.starts import TargetStart
 from lycheepost.decide.entry import follows_engines, follows_stores
 from lycheepost.decide.fleetquota import FleetQuotas
-from lycheepost.decide.freshness import KeyRule
-from lycheepost.decide.kvcopies import KvCopies
+from lycheepost.decide.freshness import KeyTrustRule
+from lycheepost.decide.kvstorecontents import KvStoreContents
 from lycheepost.decide.mechanisms import Mechanism
 from lycheepost.decide.notices import TargetNotices
 from lycheepost.decide.records import LoadReport, TargetView
@@ -161,7 +161,7 @@
         known_notices, dispatcher, targets, exchange, clock, metrics
     )
     cache_events = CacheEventsClient()
-    kv_copies = KvCopies(switched_off)
+    kv_copies = KvStoreContents(switched_off)
     caches = CacheFollower(
         cache_events,
         dispatcher,
@@ -218,9 +218,9 @@
     )
 
 
-def make_key_rule(bounds: Bounds) -> KeyRule:
+def make_key_rule(bounds: Bounds) -> KeyTrustRule:
     """Return how long keys may be trusted."""
-    return KeyRule(bounds.revoke_seconds, bounds.is_revoke_strict)
+    return KeyTrustRule(bounds.revoke_seconds, bounds.is_revoke_strict)
 
 
 def count_sharing(me: DaemonId, entry: frozenset[DaemonId], n_live: int) -> int:
--- a/lycheepost/bench/policybaselines.py
+++ b/lycheepost/bench/policybaselines.py
@@ -233,9 +233,9 @@
     def arrive(self, work: Work, now_seconds: float) -> list[Outcome]:
         """Queue a request and send on what has room."""
         self.push(work, now_seconds)
-        return self.pump(now_seconds)
+        return self.dispatch_waiting(now_seconds)
 
-    def pump(self, now_seconds: float) -> list[Outcome]:
+    def dispatch_waiting(self, now_seconds: float) -> list[Outcome]:
         """Send on while some target has room."""
         outcomes: list[Outcome] = []
         while any(self.outstanding[item] < self.PER_TARGET for item in self.targets):
@@ -250,7 +250,7 @@
     ) -> list[Outcome]:
         """Stop counting a request and use its room."""
         super().finish(request, now_seconds, kind)
-        return self.pump(now_seconds)
+        return self.dispatch_waiting(now_seconds)
 
 
 class Fifo(Holding):
@@ -291,7 +291,7 @@
         while self._queue:
             work = self._queue[0]
             waited = now_seconds - work.arrived_seconds
-            if waited < self.DROP_SHARE * work.patience_seconds:
+            if waited < self.DROP_SHARE * work.first_token_timeout_seconds:
                 break
             self._queue.popleft()
             if work.request not in self._left:
--- a/lycheepost/bench/policyload.py
+++ b/lycheepost/bench/policyload.py
@@ -70,7 +70,7 @@
     batch_gap_seconds: Range
     own_tokens: Range
     output_tokens: Range
-    patience_seconds: Range
+    first_token_timeout_seconds: Range
     warmup_seconds: float
 
 
@@ -96,7 +96,7 @@
     own_tokens=Range(150, 600),
     output_tokens=Range(20, 80),
     # The shopper is still at the screen for a few seconds.
-    patience_seconds=Range(4.0, 8.0),
+    first_token_timeout_seconds=Range(4.0, 8.0),
     # The caches start empty and fill within some ten seconds.
     warmup_seconds=20.0,
 )
@@ -122,7 +122,7 @@
     batch_gap_seconds=Range(2.0, 15.0),
     own_tokens=Range(300, 1500),
     output_tokens=Range(100, 400),
-    patience_seconds=Range(25.0, 60.0),
+    first_token_timeout_seconds=Range(25.0, 60.0),
     # Answers take 16 s, caches twice as long to fill.
     warmup_seconds=40.0,
 )
@@ -343,7 +343,9 @@
             output_tokens=int(deployment.output_tokens.draw(rng)),
             priority=Priority.NORMAL,
             arrived_seconds=now_seconds,
-            patience_seconds=deployment.patience_seconds.draw(rng),
+            first_token_timeout_seconds=deployment.first_token_timeout_seconds.draw(
+                rng
+            ),
             fingerprint=BodyFingerprint(int(levels[-1].digest)),
         )
         return Arrival(work, rng.randrange(deployment.n_daemons))
--- a/lycheepost/bench/policyscore.py
+++ b/lycheepost/bench/policyscore.py
@@ -141,7 +141,7 @@
         if trace.waited_seconds is not None:
             waits.append(trace.waited_seconds)
         elif trace.fate is not Fate.REFUSED:
-            waits.append(trace.work.patience_seconds)
+            waits.append(trace.work.first_token_timeout_seconds)
     return waits
 
 
--- a/lycheepost/bench/policysim.py
+++ b/lycheepost/bench/policysim.py
@@ -215,7 +215,7 @@
         work = arrival.work
         trace = Trace(work, arrival.daemon)
         self.traces[work.request] = trace
-        self._push(now_seconds + work.patience_seconds, Kind.LEAVE, trace)
+        self._push(now_seconds + work.first_token_timeout_seconds, Kind.LEAVE, trace)
         policy = self._daemons[arrival.daemon].policy
         self._apply(policy.arrive(work, now_seconds), now_seconds)
 
--- a/lycheepost/callers/dispatch.py
+++ b/lycheepost/callers/dispatch.py
@@ -169,9 +169,9 @@
         now_seconds = self._clock.now_seconds()
         self._scheduler.observe_cache_events(target, boot_id, events, now_seconds)
 
-    def note_others(self, target: TargetId, load: UnderWay) -> None:
+    def set_peer_load(self, target: TargetId, load: UnderWay) -> None:
         """Pass on what the other daemons have under way at a target."""
-        self._scheduler.note_others(target, load, self._clock.now_seconds())
+        self._scheduler.set_peer_load(target, load, self._clock.now_seconds())
 
     def set_limit(self, target: TargetId, per_second: float | None) -> None:
         """Pass on a target's limit; None once it names none."""
@@ -202,9 +202,9 @@
         """Pass on a prompt that another daemon has sent to a target."""
         self._scheduler.note_placed(placed)
 
-    def pump(self) -> None:
+    def dispatch_waiting(self) -> None:
         """Send out what waits and has room by what the others told."""
-        self._wake(self._scheduler.pump(self._clock.now_seconds()))
+        self._wake(self._scheduler.dispatch_waiting(self._clock.now_seconds()))
 
     def under_way(self) -> dict[TargetId, UnderWay]:
         """Return what is under way from here, for the peers."""
--- a/lycheepost/callers/flow.py
+++ b/lycheepost/callers/flow.py
@@ -167,7 +167,7 @@
         output_tokens=call.max_tokens or DEFAULT_OUTPUT_TOKENS,
         priority=asked.headers.priority,
         arrived_seconds=asked.arrived_seconds,
-        patience_seconds=asked.headers.patience_seconds,
+        first_token_timeout_seconds=asked.headers.first_token_timeout_seconds,
         fingerprint=fingerprint_body(customer, asked.body),
         is_idempotent=not asked.headers.is_marked_non_idempotent,
     )
--- a/lycheepost/callers/forwardcalls.py
+++ b/lycheepost/callers/forwardcalls.py
@@ -9,7 +9,7 @@
 from lycheepost.core.ids import RequestId, WeightsVersion
 from lycheepost.core.routing import ListedTarget, Prompt, RouteTable
 from lycheepost.decide.promptlevels import make_scope, prompt_levels
-from lycheepost.decide.routes import Way, choose_kv_store
+from lycheepost.decide.routes import RouteMatch, choose_kv_store
 from lycheepost.targets.forwardcall import EngineTerms, ForwardCall
 
 
@@ -40,7 +40,9 @@
     return table
 
 
-def make_charge(deps: ForwardDeps, request: ForwardRequest, way: Way) -> QuotaCharge:
+def make_charge(
+    deps: ForwardDeps, request: ForwardRequest, way: RouteMatch
+) -> QuotaCharge:
     """Return what a request takes from its customer's quota."""
     prompt = request.prompt
     n_tokens = None if prompt is None else prompt.n_tokens + prompt.max_output_tokens
@@ -52,7 +54,7 @@
 def make_call(
     deps: ForwardDeps,
     request: ForwardRequest,
-    way: Way,
+    way: RouteMatch,
     listed: ListedTarget,
     progress: Progress,
 ) -> ForwardCall:
@@ -85,7 +87,7 @@
 
 
 def _engine_terms(
-    deps: ForwardDeps, way: Way, prompt: Prompt, listed: ListedTarget
+    deps: ForwardDeps, way: RouteMatch, prompt: Prompt, listed: ListedTarget
 ) -> EngineTerms:
     """Return what an engine is told of a prompt: its weights, scope and KV store."""
     version = deps.targets.weights_of(listed.target, prompt.model)
--- a/lycheepost/callers/forwarddeps.py
+++ b/lycheepost/callers/forwarddeps.py
@@ -14,8 +14,8 @@
 )
 from lycheepost.core.routing import ListedTarget, Prompt, RouteTable
 from lycheepost.decide.fleetquota import FleetQuotas
-from lycheepost.decide.freshness import KeyRule
-from lycheepost.decide.kvcopies import KvCopies
+from lycheepost.decide.freshness import KeyTrustRule
+from lycheepost.decide.kvstorecontents import KvStoreContents
 from lycheepost.decide.targethealth import Ending
 from lycheepost.targets.forward import ForwardClient
 from lycheepost.targets.forwardcall import AnswerHead
@@ -32,7 +32,8 @@
         raw_path: Path and query, byte for byte.
         headers: What may go on to a target.
         key: The caller's key; None when it sent none.
-        patience_seconds: How long the caller waits; None when it does not say.
+        first_token_timeout_seconds: How long the caller waits; None when it does not
+            say.
         prompt: None when the request says nothing of a prompt.
         after_event: The last event that the caller has of an earlier answer.
     """
@@ -43,7 +44,7 @@
     raw_path: str
     headers: tuple[tuple[str, str], ...]
     key: str | None
-    patience_seconds: float | None
+    first_token_timeout_seconds: float | None
     prompt: Prompt | None
     after_event: int | None
     body: bytes
@@ -143,8 +144,8 @@
     clock: Clock
     metrics: Metrics
     quotas: FleetQuotas
-    kv_copies: KvCopies
-    key_rule: Callable[[], KeyRule]
+    kv_copies: KvStoreContents
+    key_rule: Callable[[], KeyTrustRule]
     is_same_start: Callable[[ListedTarget], Awaitable[bool]]
     make_request_id: Callable[[], RequestId]
     pick_point: Callable[[], float]
--- a/lycheepost/callers/forwarding.py
+++ b/lycheepost/callers/forwarding.py
@@ -45,7 +45,7 @@
 )
 from lycheepost.decide.freshness import may_trust_key
 from lycheepost.decide.records import Dispatch, FinishKind, Refuse
-from lycheepost.decide.routes import RouteFault, Way, find_way
+from lycheepost.decide.routes import RouteFault, RouteMatch, match_route
 from lycheepost.decide.silence import gap_limit_seconds, silence_seconds
 from lycheepost.decide.targethealth import Ending
 from lycheepost.targets.errors import TargetError, TargetUnreachable
@@ -69,14 +69,14 @@
 _log = structlog.get_logger(part="forward")
 
 
-def identify(deps: ForwardDeps, request: ForwardRequest) -> Way:
+def identify(deps: ForwardDeps, request: ForwardRequest) -> RouteMatch:
     """Return a request's way by the configuration in force now.
 
     Raises:
         CallerError: It has none, or its key cannot be trusted now.
     """
     table = route_table(deps)
-    way = find_way(table, request.host, request.path, request.key)
+    way = match_route(table, request.host, request.path, request.key)
     if isinstance(way, RouteFault):
         _check_fresh(deps, way is RouteFault.UNKNOWN_KEY)
         raise from_route_fault(way)
@@ -107,7 +107,7 @@
         self,
         deps: ForwardDeps,
         request: ForwardRequest,
-        way: Way,
+        way: RouteMatch,
         caller: CallerSide,
     ) -> None:
         self._deps = deps
@@ -120,8 +120,8 @@
         self._has_retry = False
         self._charge = make_charge(deps, request, way)
         until = way.route.timeout_seconds
-        if request.patience_seconds is not None:
-            until = min(until, request.patience_seconds)
+        if request.first_token_timeout_seconds is not None:
+            until = min(until, request.first_token_timeout_seconds)
         self._until_seconds = request.arrived_seconds + until
         self._log = _log.bind(
             request_id=request.caller_id,
--- a/lycheepost/callers/forwardwork.py
+++ b/lycheepost/callers/forwardwork.py
@@ -9,7 +9,7 @@
 from lycheepost.core.routing import Prompt, Route, RouteKind, RouteTable
 from lycheepost.decide.promptlevels import make_scope, prompt_levels
 from lycheepost.decide.records import PrefixLevel, Priority, Work
-from lycheepost.decide.routes import Way, choose_group, choose_kv_store
+from lycheepost.decide.routes import RouteMatch, choose_group, choose_kv_store
 from lycheepost.decide.silence import stream_patience_seconds
 
 RANK_STEPS = 3
@@ -20,11 +20,11 @@
 """A plain service makes no tokens; one stands for the answer."""
 
 
-def patience_seconds(route: Route, request: ForwardRequest) -> float:
+def first_token_timeout_seconds(route: Route, request: ForwardRequest) -> float:
     """Return how long the caller waits for the first part of its answer."""
     patience = route.timeout_seconds
-    if request.patience_seconds is not None:
-        patience = min(patience, request.patience_seconds)
+    if request.first_token_timeout_seconds is not None:
+        patience = min(patience, request.first_token_timeout_seconds)
     if route.kind is not RouteKind.STREAM:
         return patience
     return min(patience, stream_patience_seconds(route))
@@ -38,21 +38,23 @@
     late wherever there is a queue.
     """
     patience = elapsed_seconds + stream_patience_seconds(route)
-    return replace(work, patience_seconds=patience)
+    return replace(work, first_token_timeout_seconds=patience)
 
 
-def _levels(deps: ForwardDeps, way: Way, prompt: Prompt) -> tuple[PrefixLevel, ...]:
+def _levels(
+    deps: ForwardDeps, way: RouteMatch, prompt: Prompt
+) -> tuple[PrefixLevel, ...]:
     """Return the levels under the newest weights that any target holds."""
     version = deps.targets.newest_weights(prompt.model)
     return prompt_levels(make_scope(way.holder, version), prompt)
 
 
-def rank_of(way: Way) -> int:
+def rank_of(way: RouteMatch) -> int:
     """Return how urgent a request is; a customer's rank goes before its route's."""
     return way.route.rank if way.holder.rank is None else way.holder.rank
 
 
-def engine_rank(way: Way) -> int:
+def engine_rank(way: RouteMatch) -> int:
     """Return the rank that an engine is told; lower runs first.
 
     A customer's rank goes first. Between requests of one rank the route's decides:
@@ -62,12 +64,12 @@
     return RANK_STEPS * rank_of(way) + min(way.route.rank, RANK_STEPS - 1)
 
 
-def _priority(way: Way) -> Priority:
+def _priority(way: RouteMatch) -> Priority:
     return Priority(min(rank_of(way), Priority.BATCH.value))
 
 
 def make_work(
-    deps: ForwardDeps, request: ForwardRequest, way: Way, table: RouteTable
+    deps: ForwardDeps, request: ForwardRequest, way: RouteMatch, table: RouteTable
 ) -> Work:
     """Return the work of a request on its route.
 
@@ -98,7 +100,7 @@
         ),
         priority=_priority(way),
         arrived_seconds=request.arrived_seconds,
-        patience_seconds=patience_seconds(route, request),
+        first_token_timeout_seconds=first_token_timeout_seconds(route, request),
         fingerprint=fingerprint_body(customer, identity + request.body),
         is_idempotent=route.is_repeatable,
         objective_seconds=route.objective_seconds or math.inf,
--- a/lycheepost/callers/headers.py
+++ b/lycheepost/callers/headers.py
@@ -25,13 +25,13 @@
     Attributes:
         caller_request_id: The caller's own id, echoed; empty when none came.
         idempotency_key: Ties resends to the first send; None when none came.
-        patience_seconds: How long the caller waits for a first token.
+        first_token_timeout_seconds: How long the caller waits for a first token.
         is_marked_non_idempotent: The caller says the request must not repeat.
     """
 
     caller_request_id: str
     idempotency_key: IdempotencyKey | None
-    patience_seconds: float
+    first_token_timeout_seconds: float
     is_marked_non_idempotent: bool
     priority: Priority
 
@@ -45,7 +45,7 @@
             CallerHeaders(
                 caller_request_id=_read_token(headers, "X-Request-Id"),
                 idempotency_key=_read_key(headers),
-                patience_seconds=_read_patience(headers, limits),
+                first_token_timeout_seconds=_read_patience(headers, limits),
                 is_marked_non_idempotent=_read_flag(headers, "X-Non-Idempotent"),
                 priority=_read_priority(headers),
             )
--- a/lycheepost/callers/services.py
+++ b/lycheepost/callers/services.py
@@ -131,7 +131,7 @@
         output_tokens=1,
         priority=headers.priority,
         arrived_seconds=arrived_seconds,
-        patience_seconds=headers.patience_seconds,
+        first_token_timeout_seconds=headers.first_token_timeout_seconds,
         fingerprint=fingerprint_body(customer, identity + body),
         is_idempotent=is_idempotent,
     )
--- a/lycheepost/decide/admission.py
+++ b/lycheepost/decide/admission.py
@@ -10,7 +10,7 @@
 import random
 from dataclasses import dataclass
 
-from lycheepost.decide.queueing import CREDIT_SECONDS, FairQueue, Waiting
+from lycheepost.decide.queueing import CREDIT_SECONDS, FairQueue, QueuedRequest
 from lycheepost.decide.records import RefusalReason, Work
 from lycheepost.decide.settings import SchedulerSettings
 
@@ -94,7 +94,7 @@
 
 
 def predict_queue_wait(
-    queue: FairQueue, waiting: Waiting, rate: float, bias: float
+    queue: FairQueue, waiting: QueuedRequest, rate: float, bias: float
 ) -> QueueWait:
     """Return how long a new request would wait in ``queue``.
 
@@ -136,7 +136,7 @@
 
 def budget_seconds(work: Work, settings: SchedulerSettings) -> float:
     """Return the wait for the first token that ``work`` may be promised."""
-    share = work.patience_seconds * settings.admit_patience_share
+    share = work.first_token_timeout_seconds * settings.admit_patience_share
     return min(share, settings.queue_seconds)
 
 
--- a/lycheepost/decide/backlog.py
+++ b/lycheepost/decide/backlog.py
@@ -13,7 +13,7 @@
 
 from dataclasses import dataclass
 
-LEAST_SHARE = 0.25
+MIN_LEFT_SHARE = 0.25
 """Part of what was sent that counts as left until its first token has come. A target
 that hangs is not sent more than four times what is to wait there."""
 
@@ -50,13 +50,13 @@
     def left(self, token_seconds: float, now_seconds: float) -> float:
         """Return the tokens that are left to read."""
         drained = self._drained(token_seconds, now_seconds)
-        return max(drained, LEAST_SHARE * self.sent_tokens)
+        return max(drained, MIN_LEFT_SHARE * self.sent_tokens)
 
     def _drained(self, token_seconds: float, now_seconds: float) -> float:
         elapsed_seconds = max(0.0, now_seconds - self.at_seconds)
-        read_tokens = elapsed_seconds / max(token_seconds, _LEAST_TOKEN_SECONDS)
+        read_tokens = elapsed_seconds / max(token_seconds, _MIN_TOKEN_SECONDS)
         return max(0.0, self.left_tokens - read_tokens)
 
 
-_LEAST_TOKEN_SECONDS = 1e-6
+_MIN_TOKEN_SECONDS = 1e-6
 """No engine reads a million prompt tokens a second."""
--- a/lycheepost/decide/belief.py
+++ b/lycheepost/decide/cacheestimate.py
@@ -17,12 +17,12 @@
 133,000 each; level boundaries are some tens of times fewer."""
 
 
-COUNT_ANEW = 0
+RESTART_SEQUENCE = 0
 """Number of the event that tells of a cache that restarted empty; real ones count
 from 1."""
 
 
-class CacheBelief:
+class CacheEstimate:
     """Prefix levels believed to be cached by one incarnation of one target.
 
     Args:
@@ -144,7 +144,7 @@
         self._evict()
 
     def _observe_one(self, event: CacheEvent) -> None:
-        if event.sequence == COUNT_ANEW:
+        if event.sequence == RESTART_SEQUENCE:
             # A cache that restarted empty counts its events from the beginning. Taken
             # by its number, this event and all that follow would be old ones.
             self.clear()
--- a/lycheepost/decide/freshness.py
+++ b/lycheepost/decide/freshness.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeyRule:
+class KeyTrustRule:
     """How long a key may be trusted without confirmation.
 
     Attributes:
@@ -37,22 +37,22 @@
         return max(0.0, self.revoke_seconds - WATCH_LAG_SECONDS - CHECK_SECONDS)
 
 
-MOST_HELD_SECONDS = 1.8
+MAX_LONG_POLL_SECONDS = 1.8
 """Longest time that a question to the store is held. A connection that went silent
 is noticed after about this time, and leaving targets must be known sooner."""
 
-HELD_SHARE = 0.4
+LONG_POLL_SHARE = 0.4
 """Part of the trusted time that a question is held. The answer confirms what was
 true when the question was sent, so keys rest on confirmations up to twice as old."""
 
 
-def held_seconds(rule: KeyRule) -> float:
+def long_poll_seconds(rule: KeyTrustRule) -> float:
     """Return how long a question to the store may be held."""
-    return min(MOST_HELD_SECONDS, HELD_SHARE * rule.trusted_seconds)
+    return min(MAX_LONG_POLL_SECONDS, LONG_POLL_SHARE * rule.trusted_seconds)
 
 
 def may_trust_key(
-    rule: KeyRule, confirmed_seconds: float | None, now_seconds: float
+    rule: KeyTrustRule, confirmed_seconds: float | None, now_seconds: float
 ) -> bool:
     """Return whether a keyed request may be sent now.
 
--- a/lycheepost/decide/group.py
+++ b/lycheepost/decide/group.py
@@ -19,10 +19,9 @@
 from lycheepost.decide.latework import LateWork
 from lycheepost.decide.load import InFlight, TargetLoad
 from lycheepost.decide.mechanisms import Mechanism
-from lycheepost.decide.paces import TargetPaces
-from lycheepost.decide.placement import Ahead, Choice, Placement
+from lycheepost.decide.placement import Choice, Placement, WaitingByTarget
 from lycheepost.decide.quarantine import Quarantine
-from lycheepost.decide.queueing import FairQueue, Waiting
+from lycheepost.decide.queueing import FairQueue, QueuedRequest
 from lycheepost.decide.randomadmission import RandomAdmission
 from lycheepost.decide.records import (
     Dispatch,
@@ -36,6 +35,7 @@
 from lycheepost.decide.settings import SchedulerSettings
 from lycheepost.decide.shares import FairShares
 from lycheepost.decide.suspects import SuspectPlacement
+from lycheepost.decide.throttling import TargetThrottle
 
 SCANNED_REQUESTS = 8
 """Requests looked at when a slot frees up: enough to pass those that wait for
@@ -49,7 +49,7 @@
 """Per tick of 20 ms: the pressure follows the queue within about 2 s, longer
 than a short burst that the engines absorb, shorter than callers' patience."""
 
-PRESSED_SHARE = 0.25
+PRESSURE_FULL_SHARE = 0.25
 """Share of targets without room from which a waiting request speaks of the
 whole fleet. The owners of a hot prefix alone are fewer; taken for pressure, their
 queue would make every copy elsewhere too dear, and the prefix never gain owners."""
@@ -65,7 +65,7 @@
 """Mean costs by which a customer must be behind the fair order for its new
 batches to be taken under pressure; so each customer's turn comes."""
 
-ENGINE_PATIENCE_SHARE = 0.05
+ENGINE_WAIT_SHARE = 0.05
 """Share of the patience that work may wait inside an engine. What waits there
 can no longer be ordered fairly nor refused early; an engine in which nothing
 waits idles between our dispatches."""
@@ -75,11 +75,11 @@
 it the queue waits for a few targets, such as the owners of a hot prefix, and
 refusing new work for that would leave the others idle."""
 
-MOST_PLACED = 1_000
+MAX_UNPUBLISHED_PROMPTS = 1_000
 """Prompts that peers were not told of yet; some thirty seconds of a daemon's traffic,
 where nobody asks for them."""
 
-INSIDE_PATIENCE_SHARE = 0.7
+INSIDE_TIMEOUT_SHARE = 0.7
 """A customer inside its share is refused only when the engines themselves are
 too slow for it; the rest covers the error of that prediction."""
 
@@ -106,15 +106,15 @@
         self.late = LateWork()
         self.shares = FairShares()
         self.placement = Placement(settings, rng)
-        self.paces = TargetPaces(self.placement.loads, rng)
+        self.throttle = TargetThrottle(self.placement.loads, rng)
         self.suspects = SuspectPlacement(quarantine, self.placement)
         self.admission = RandomAdmission(rng)
-        self.placed: deque[Placed] = deque(maxlen=MOST_PLACED)
+        self.placed: deque[Placed] = deque(maxlen=MAX_UNPUBLISHED_PROMPTS)
         self._running: dict[RequestId, TargetId] = {}
         self._rate = ServiceRate(1.0)
         self._usual_rate = ServiceRate(1.0)
         self._bias = WaitBias()
-        self._bound = Ahead()
+        self._awaited = WaitingByTarget()
 
     @property
     def n_waiting(self) -> int:
@@ -129,7 +129,7 @@
     def remove_target(self, target: TargetId) -> None:
         """Forget a target that is no longer configured."""
         self.placement.loads.pop(target, None)
-        self.paces.forget(target)
+        self.throttle.forget(target)
 
     def _cost_seconds(self, work: Work, uncached_tokens: int) -> float:
         prefill = uncached_tokens * self._settings.prefill_seconds_per_token
@@ -147,7 +147,7 @@
 
     def arrive(self, work: Work, now_seconds: float) -> list[Outcome]:
         """Dispatch, queue or refuse one request."""
-        choice = self._choose(work, now_seconds, self._bound)
+        choice = self._choose(work, now_seconds, self._awaited)
         if choice is None:
             seconds = retry_after_seconds(1.0, self._rng)
             return [Refuse(work.request, RefusalReason.NO_TARGET, seconds)]
@@ -157,31 +157,31 @@
             return [self._dispatch(work, choice, cost, now_seconds)]
         return self._queue_up(work, choice, cost, now_seconds)
 
-    def has_room_for(self, work: Work, now_seconds: float) -> bool:
+    def has_capacity_for(self, work: Work, now_seconds: float) -> bool:
         """Tell whether a target that has not failed ``work`` could take it now."""
-        choice = self._choose(work, now_seconds, self._bound)
+        choice = self._choose(work, now_seconds, self._awaited)
         return choice is not None and choice.can_take
 
     def _queue_up(
         self, work: Work, choice: Choice, cost_seconds: float, now_seconds: float
     ) -> list[Outcome]:
         budget = self._budget_seconds(work, choice, now_seconds)
-        longest = max(budget, work.patience_seconds * INSIDE_PATIENCE_SHARE)
+        longest = max(budget, work.first_token_timeout_seconds * INSIDE_TIMEOUT_SHARE)
         give_up = now_seconds + min(budget * GIVE_UP_SLACK, longest)
         waiting = self.queue.make_waiting(work, cost_seconds, now_seconds, give_up)
         rate = self._rate.per_second()
         wait = predict_queue_wait(self.queue, waiting, rate, self._bias.value)
         if wait.seconds + choice.wait_seconds > budget:
-            return [self._refuse(work, reason_of(wait), wait, choice.held_back_seconds)]
+            return [self._refuse(work, reason_of(wait), wait, choice.throttled_seconds)]
         if self._is_full(work):
             return [self._refuse(work, RefusalReason.QUEUE_FULL, wait)]
         waiting.predicted_seconds = wait.seconds
-        waiting.hopeful_until_seconds = self._hopeful_until(work, choice)
+        waiting.latest_dispatch_seconds = self._latest_dispatch_seconds(work, choice)
         self.queue.push(waiting)
-        self._bind(waiting, choice)
-        return self.pump(now_seconds)
+        self._set_awaited_target(waiting, choice)
+        return self.dispatch_waiting(now_seconds)
 
-    def _hopeful_until(self, work: Work, choice: Choice) -> float:
+    def _latest_dispatch_seconds(self, work: Work, choice: Choice) -> float:
         """Return by when work must be sent out to meet its objective."""
         if Mechanism.LATE_LAST in self._settings.switched_off:
             return math.inf
@@ -193,11 +193,11 @@
     def _deprioritize_late(self, now_seconds: float) -> None:
         """Give requests whose objective has passed a lower priority."""
         for waiting in self.queue.all():
-            if now_seconds > waiting.hopeful_until_seconds:
+            if now_seconds > waiting.latest_dispatch_seconds:
                 self.queue.remove(waiting.work.request)
                 self.late.add(waiting)
 
-    def _has_waited_long(self, waiting: Waiting, now_seconds: float) -> bool:
+    def _has_waited_long(self, waiting: QueuedRequest, now_seconds: float) -> bool:
         """Tell whether a customer inside its share has waited half its time.
 
         It waits for the owner of its prefix, which others keep full. They are
@@ -206,23 +206,23 @@
         halfway = (waiting.enqueued_seconds + waiting.give_up_seconds) / 2
         return now_seconds > halfway and self.shares.is_inside(waiting.work.customer)
 
-    def _bind(self, waiting: Waiting, choice: Choice) -> None:
+    def _set_awaited_target(self, waiting: QueuedRequest, choice: Choice) -> None:
         """Note for which target a request waits."""
-        self._unbind(waiting)
-        waiting.bound = (choice.load.view.target, choice.uncached_tokens)
-        self._bound.add(*waiting.bound)
+        self._clear_awaited_target(waiting)
+        waiting.awaited_target = (choice.load.view.target, choice.uncached_tokens)
+        self._awaited.add(*waiting.awaited_target)
 
-    def _unbind(self, waiting: Waiting) -> None:
-        if waiting.bound is not None:
-            self._bound.remove(*waiting.bound)
-            waiting.bound = None
+    def _clear_awaited_target(self, waiting: QueuedRequest) -> None:
+        if waiting.awaited_target is not None:
+            self._awaited.remove(*waiting.awaited_target)
+            waiting.awaited_target = None
 
     def remove(self, request: RequestId) -> bool:
         """Take a request out of the queue; False when it does not wait."""
         waiting = self.queue.remove(request) or self.late.remove(request)
         if waiting is None:
             return False
-        self._unbind(waiting)
+        self._clear_awaited_target(waiting)
         return True
 
     def _budget_seconds(self, work: Work, choice: Choice, now_seconds: float) -> float:
@@ -230,9 +230,9 @@
         if work.excluded:
             # A target failed it, not the load: it has its caller's whole time.
             elapsed = now_seconds - work.arrived_seconds
-            return max(0.0, work.patience_seconds - elapsed) / GIVE_UP_SLACK
+            return max(0.0, work.first_token_timeout_seconds - elapsed) / GIVE_UP_SLACK
         if self.shares.is_inside(work.customer):
-            return work.patience_seconds * INSIDE_PATIENCE_SHARE
+            return work.first_token_timeout_seconds * INSIDE_TIMEOUT_SHARE
         budget = budget_seconds(work, self._settings)
         if _is_warm(work, choice) or self._lead_seconds(work) < COLD_LEAD:
             return budget
@@ -256,10 +256,10 @@
         work: Work,
         reason: RefusalReason,
         wait: QueueWait,
-        held_back_seconds: float = 0.0,
+        throttled_seconds: float = 0.0,
     ) -> Refuse:
         """Refuse with the time after which the queue, and the targets, let it pass."""
-        seconds = retry_after_seconds(wait.seconds, self._rng) + held_back_seconds
+        seconds = retry_after_seconds(wait.seconds, self._rng) + throttled_seconds
         seconds = min(MAX_RETRY_AFTER_SECONDS, seconds)
         return Refuse(work.request, reason, seconds)
 
@@ -267,12 +267,14 @@
         self,
         work: Work,
         now_seconds: float,
-        ahead_of: Ahead,
-        is_late: bool = False,
+        waiting_ahead: WaitingByTarget,
+        ignores_pressure: bool = False,
     ) -> Choice | None:
         if self.suspects.is_suspect(work, now_seconds):
-            return self.suspects.choose(work, now_seconds, ahead_of)
-        return self.placement.best(work, now_seconds, work.excluded, ahead_of, is_late)
+            return self.suspects.choose(work, now_seconds, waiting_ahead)
+        return self.placement.best(
+            work, now_seconds, work.excluded, waiting_ahead, ignores_pressure
+        )
 
     def _dispatch(
         self, work: Work, choice: Choice, cost_seconds: float, now_seconds: float
@@ -288,7 +290,7 @@
             choice.ahead_tokens,
         )
         load.start(entry, now_seconds)
-        load.belief.add(work.levels)
+        load.cache_estimate.add(work.levels)
         self.placement.note_holder(work.levels, target)
         if work.levels:
             self.placed.append(Placed(target, work.levels))
@@ -308,7 +310,7 @@
         """
         load = self.placement.loads.get(placed.target)
         if load is not None:
-            load.belief.add(placed.levels)
+            load.cache_estimate.add(placed.levels)
             self.placement.note_holder(placed.levels, placed.target)
 
     def draw_admission(self, n_peers: int, now_seconds: float) -> None:
@@ -321,52 +323,57 @@
         is_off = Mechanism.RANDOM_ADMISSION in self._settings.switched_off
         if is_off or not self.n_waiting:
             return
-        places = {
-            target: load.places(now_seconds)
+        free_slots = {
+            target: load.free_slots(now_seconds)
             for target, load in self.placement.loads.items()
         }
-        self.admission.draw(places, 1 + n_peers)
+        self.admission.draw(free_slots, 1 + n_peers)
 
-    def pump(self, now_seconds: float) -> list[Outcome]:
+    def dispatch_waiting(self, now_seconds: float) -> list[Outcome]:
         """Send out what waits and now has room."""
         outcomes: list[Outcome] = []
-        if not self.n_waiting or not self.placement.has_room(now_seconds):
+        if not self.n_waiting or not self.placement.has_capacity(now_seconds):
             return outcomes
-        ahead_of = Ahead()
+        waiting_ahead = WaitingByTarget()
         if self.late.is_due():
-            outcomes += self._pump_late(1, now_seconds, ahead_of)
+            outcomes += self._dispatch_late(1, now_seconds, waiting_ahead)
         for waiting in self.queue.in_order(SCANNED_REQUESTS, self.shares.is_inside):
-            outcome = self._try_waiting(waiting, now_seconds, ahead_of)
+            outcome = self._try_waiting(waiting, now_seconds, waiting_ahead)
             if outcome is not None:
                 outcomes.append(outcome)
-                self.late.note_other(waiting.cost_seconds)
-        return outcomes + self._pump_late(SCANNED_REQUESTS, now_seconds, ahead_of)
+                self.late.count_other(waiting.cost_seconds)
+        return outcomes + self._dispatch_late(
+            SCANNED_REQUESTS, now_seconds, waiting_ahead
+        )
 
-    def _pump_late(
-        self, n_scanned: int, now_seconds: float, ahead_of: Ahead
+    def _dispatch_late(
+        self, n_scanned: int, now_seconds: float, waiting_ahead: WaitingByTarget
     ) -> list[Outcome]:
         """Send out late requests that have room."""
         outcomes: list[Outcome] = []
         for waiting in self.late.first(n_scanned):
-            outcome = self._try_waiting(waiting, now_seconds, ahead_of)
+            outcome = self._try_waiting(waiting, now_seconds, waiting_ahead)
             if outcome is not None:
                 outcomes.append(outcome)
-                self.late.note_own(waiting.cost_seconds)
+                self.late.count_late(waiting.cost_seconds)
         return outcomes
 
     def _try_waiting(
-        self, waiting: Waiting, now_seconds: float, ahead_of: Ahead
+        self, waiting: QueuedRequest, now_seconds: float, waiting_ahead: WaitingByTarget
     ) -> Outcome | None:
         work = waiting.work
         choice = self._choose(
-            work, now_seconds, ahead_of, self._has_waited_long(waiting, now_seconds)
+            work,
+            now_seconds,
+            waiting_ahead,
+            self._has_waited_long(waiting, now_seconds),
         )
         if choice is None:
             return None
         target = choice.load.view.target
         if not choice.can_take or not self.admission.may_take(target):
-            ahead_of.add(target, choice.uncached_tokens)
-            self._bind(waiting, choice)
+            waiting_ahead.add(target, choice.uncached_tokens)
+            self._set_awaited_target(waiting, choice)
             return None
         self.admission.note_taken(target)
         self.remove(work.request)
@@ -410,7 +417,7 @@
         own_seconds = rates.first_token_seconds + uncached * rates.token_seconds
         load.window.observe(
             delay_seconds=elapsed - own_seconds * load.slowness.value,
-            target_seconds=entry.work.patience_seconds * ENGINE_PATIENCE_SHARE,
+            target_seconds=entry.work.first_token_timeout_seconds * ENGINE_WAIT_SHARE,
             is_limiting=load.queued_tokens > load.window.tokens / 2,
             now_seconds=now_seconds,
         )
@@ -428,34 +435,34 @@
             held = now_seconds - entry.dispatched_seconds
             self.placement.rates.observe_hold(held)
         if kind is FinishKind.TARGET_LOST:
-            load.belief.clear()
+            load.cache_estimate.clear()
         return entry
 
     def tick(self, now_seconds: float) -> list[Outcome]:
         """Refuse what cannot be served any more; send out what has room."""
-        self.paces.renew_unused(now_seconds)
+        self.throttle.renew_unused(now_seconds)
         self._rate.update(now_seconds, self.n_waiting > 0)
         self._usual_rate.update(now_seconds, self.n_waiting > 0)
         self.shares.divide(self._usual_rate.per_second(), now_seconds)
         pressure = self.placement.pressure
-        step = (float(self._is_pressed(now_seconds)) - pressure) * PRESSURE_GAIN
+        step = (float(self._is_under_pressure(now_seconds)) - pressure) * PRESSURE_GAIN
         self.placement.pressure = pressure + step
         outcomes: list[Outcome] = []
         for waiting in [*self.queue.all(), *self.late]:
             if now_seconds < waiting.give_up_seconds:
                 continue
             self.remove(waiting.work.request)
-            wait = QueueWait(waiting.work.patience_seconds, False)
+            wait = QueueWait(waiting.work.first_token_timeout_seconds, False)
             outcomes.append(self._refuse(waiting.work, RefusalReason.DEADLINE, wait))
         self._deprioritize_late(now_seconds)
-        outcomes.extend(self.pump(now_seconds))
+        outcomes.extend(self.dispatch_waiting(now_seconds))
         return outcomes
 
-    def _is_pressed(self, now_seconds: float) -> bool:
+    def _is_under_pressure(self, now_seconds: float) -> bool:
         """Tell whether work waits because the fleet, not one target, is full."""
         if not self.n_waiting:
             return False
-        return self.placement.full_share(now_seconds) >= PRESSED_SHARE
+        return self.placement.full_share(now_seconds) >= PRESSURE_FULL_SHARE
 
     def refuse_all(self, reason: RefusalReason) -> list[Outcome]:
         """Refuse everything that waits."""
@@ -478,7 +485,7 @@
                     "state": load.view.state.value,
                     "n_in_flight": len(load.in_flight),
                     "n_estimated": round(load.estimate(now_seconds)[1], 1),
-                    "n_believed_levels": len(load.belief),
+                    "n_believed_levels": len(load.cache_estimate),
                     "window_tokens": round(load.window.tokens),
                     "slowness": round(load.slowness.now(now_seconds), 3),
                 }
--- a/lycheepost/decide/kvcopies.py
+++ b/lycheepost/decide/kvstorecontents.py
@@ -16,24 +16,24 @@
 from collections.abc import Sequence
 
 from lycheepost.core.ids import Incarnation, PrefixDigest
-from lycheepost.decide.belief import CacheBelief
+from lycheepost.decide.cacheestimate import CacheEstimate
 from lycheepost.decide.mechanisms import Mechanism
 from lycheepost.decide.records import PrefixLevel
 from lycheepost.generated.engine import CacheEvent
 
-ASKED_SECONDS = 1.0
+SEND_GRACE_SECONDS = 1.0
 """After a prompt was sent to a store its parts count as kept for so long without the
 store's word: an engine sends them once it has read them, and the store's events are
 asked for twice a second."""
 
-MOST_ASKED = 10_000
+MAX_RECENT_SENDS = 10_000
 """Parts that were sent of late; bounds memory to some two megabytes."""
 
 _UNKNOWN_SIZE = 0
 """A store tells what it drops; it is not guessed here from its size."""
 
 
-class KvCopies:
+class KvStoreContents:
     """What the stores are believed to keep, and what was sent to them of late.
 
     Args:
@@ -43,8 +43,8 @@
     def __init__(self, switched_off: frozenset[Mechanism] = frozenset()) -> None:
         self._sends_all = Mechanism.KV_SENDS in switched_off
         self._counts_fetches = Mechanism.KV_FETCHES not in switched_off
-        self._stores: dict[str, CacheBelief] = {}
-        self._asked: OrderedDict[tuple[str, PrefixDigest], float] = OrderedDict()
+        self._stores: dict[str, CacheEstimate] = {}
+        self._recent_sends: OrderedDict[tuple[str, PrefixDigest], float] = OrderedDict()
 
     def observe(
         self, store: str, incarnation: Incarnation, events: Sequence[CacheEvent]
@@ -56,11 +56,11 @@
             incarnation: Which start of it tells them.
             events: In order; some may be missing.
         """
-        belief = self._stores.get(store)
-        if belief is None:
-            belief = CacheBelief(incarnation, _UNKNOWN_SIZE)
-            self._stores[store] = belief
-        belief.observe(incarnation, events)
+        cache_estimate = self._stores.get(store)
+        if cache_estimate is None:
+            cache_estimate = CacheEstimate(incarnation, _UNKNOWN_SIZE)
+            self._stores[store] = cache_estimate
+        cache_estimate.observe(incarnation, events)
 
     def keep_only(self, stores: Sequence[str]) -> None:
         """Forget all stores but these."""
@@ -74,12 +74,12 @@
             store: The store's address.
             levels: The prompt's levels, outermost first.
         """
-        belief = self._stores.get(store)
-        if belief is None or not self._counts_fetches:
+        cache_estimate = self._stores.get(store)
+        if cache_estimate is None or not self._counts_fetches:
             return 0
         n_tokens = 0
         for level in levels:
-            if not belief.holds(level.digest):
+            if not cache_estimate.holds(level.digest):
                 break
             n_tokens = level.end_tokens
         return n_tokens
@@ -105,18 +105,20 @@
         if not missing:
             return False
         for digest in missing:
-            self._note_asked(store, digest, now_seconds)
+            self._note_sent(store, digest, now_seconds)
         return True
 
     def _is_kept(self, store: str, digest: PrefixDigest, now_seconds: float) -> bool:
-        belief = self._stores.get(store)
-        if belief is not None and belief.holds(digest):
+        cache_estimate = self._stores.get(store)
+        if cache_estimate is not None and cache_estimate.holds(digest):
             return True
-        asked_seconds = self._asked.get((store, digest))
-        return asked_seconds is not None and now_seconds < asked_seconds + ASKED_SECONDS
-
-    def _note_asked(self, store: str, digest: PrefixDigest, now_seconds: float) -> None:
-        self._asked[store, digest] = now_seconds
-        self._asked.move_to_end((store, digest))
-        while len(self._asked) > MOST_ASKED:
-            self._asked.popitem(last=False)
+        sent_seconds = self._recent_sends.get((store, digest))
+        return (
+            sent_seconds is not None and now_seconds < sent_seconds + SEND_GRACE_SECONDS
+        )
+
+    def _note_sent(self, store: str, digest: PrefixDigest, now_seconds: float) -> None:
+        self._recent_sends[store, digest] = now_seconds
+        self._recent_sends.move_to_end((store, digest))
+        while len(self._recent_sends) > MAX_RECENT_SENDS:
+            self._recent_sends.popitem(last=False)
--- a/lycheepost/decide/latework.py
+++ b/lycheepost/decide/latework.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterator
 
 from lycheepost.core.ids import RequestId
-from lycheepost.decide.queueing import Waiting
+from lycheepost.decide.queueing import QueuedRequest
 
 LATE_SHARE = 0.2
 """Part of the work that late requests get while others could still be on time. Each of
@@ -27,27 +27,27 @@
     """Late requests of one target group, and the share of the work that is theirs."""
 
     def __init__(self) -> None:
-        self._waiting: list[Waiting] = []
+        self._waiting: list[QueuedRequest] = []
         self._credit_seconds = 0.0
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedRequest]:
         return iter(tuple(self._waiting))
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: QueuedRequest) -> None:
         """Add a request whose objective has passed."""
         insort(self._waiting, waiting, key=_deadline_seconds)
 
-    def remove(self, request: RequestId) -> Waiting | None:
+    def remove(self, request: RequestId) -> QueuedRequest | None:
         """Take a request out; None when it is not here."""
         for index, waiting in enumerate(self._waiting):
             if waiting.work.request == request:
                 return self._waiting.pop(index)
         return None
 
-    def first(self, limit: int) -> tuple[Waiting, ...]:
+    def first(self, limit: int) -> tuple[QueuedRequest, ...]:
         """Return up to ``limit`` requests, the one whose caller leaves first first."""
         return tuple(self._waiting[:limit])
 
@@ -57,15 +57,15 @@
             return False
         return self._credit_seconds >= self._waiting[0].cost_seconds
 
-    def note_other(self, cost_seconds: float) -> None:
+    def count_other(self, cost_seconds: float) -> None:
         """Count work that went out before the late requests."""
         if self._waiting:
             self._credit_seconds += LATE_SHARE * cost_seconds
 
-    def note_own(self, cost_seconds: float) -> None:
+    def count_late(self, cost_seconds: float) -> None:
         """Count work of a late request that went out."""
         self._credit_seconds = max(0.0, self._credit_seconds - cost_seconds)
 
 
-def _deadline_seconds(waiting: Waiting) -> float:
+def _deadline_seconds(waiting: QueuedRequest) -> float:
     return waiting.deadline_seconds
--- a/lycheepost/decide/load.py
+++ b/lycheepost/decide/load.py
@@ -11,7 +11,7 @@
 
 from lycheepost.core.ids import RequestId
 from lycheepost.decide.backlog import Backlog
-from lycheepost.decide.belief import CacheBelief
+from lycheepost.decide.cacheestimate import CacheEstimate
 from lycheepost.decide.concurrency import Window
 from lycheepost.decide.rates import Rates
 from lycheepost.decide.records import LoadReport, TargetView, Work
@@ -69,49 +69,49 @@
         queued_tokens: Our own uncached tokens without a first token yet.
         queued_prompt_tokens: The whole prompts of the same requests, which is
             what engines report, as they look into the cache only later.
-        others_tokens: Uncached tokens of other daemons that wait there.
-        others_running: Requests of other daemons that run there.
+        peers_tokens: Uncached tokens of other daemons that wait there.
+        peers_running: Requests of other daemons that run there.
         slowness: Observed over predicted first-token time, smoothed.
         is_shared: The other daemons tell what they have there.
-        pace: When this daemon may send to it; None while it names no limit.
+        rate_limiter: When this daemon may send to it; None while it names no limit.
         backoff_until_seconds: It wants no request from this daemon until then.
     """
 
     view: TargetView
-    belief: CacheBelief
+    cache_estimate: CacheEstimate
     rates: Rates
     backlog: Backlog = field(default_factory=Backlog)
     in_flight: dict[RequestId, InFlight] = field(default_factory=dict)
     queued_tokens: int = 0
     queued_prompt_tokens: int = 0
     window: Window = field(default_factory=Window)
-    others_tokens: float = 0.0
-    others_running: float = 0.0
+    peers_tokens: float = 0.0
+    peers_running: float = 0.0
     reported_seconds: float = float("-inf")
     slowness: Slowness = field(default_factory=Slowness)
     is_shared: bool = False
-    pace: SendPace | None = None
+    rate_limiter: SendPace | None = None
     backoff_until_seconds: float = float("-inf")
     history: deque[OwnLoad] = field(default_factory=deque)
 
     def replace_view(self, view: TargetView) -> None:
         """Follow a change; what an older incarnation or weights cached is gone."""
         if view.incarnation != self.view.incarnation:
-            self.belief.follow(view.incarnation)
-            self.others_tokens = 0.0
-            self.others_running = 0.0
+            self.cache_estimate.follow(view.incarnation)
+            self.peers_tokens = 0.0
+            self.peers_running = 0.0
             self.slowness = Slowness()
             self.window = Window()
             self.backlog = Backlog()
         if view.weights_version != self.view.weights_version:
-            self.belief.clear()
+            self.cache_estimate.clear()
         self.view = view
 
     def start(self, entry: InFlight, now_seconds: float) -> None:
         """Count a dispatched request."""
         self.in_flight[entry.work.request] = entry
-        if self.pace is not None:
-            self.pace.note_sent(now_seconds)
+        if self.rate_limiter is not None:
+            self.rate_limiter.note_sent(now_seconds)
         self._count_queued(entry, 1)
         self._remember(now_seconds)
         self._follow_sent(now_seconds)
@@ -141,7 +141,7 @@
         self.queued_prompt_tokens += sign * entry.work.prompt_tokens
 
     def _follow_sent(self, now_seconds: float) -> None:
-        sent_tokens = self.queued_tokens + self._known_others(now_seconds)[0]
+        sent_tokens = self.queued_tokens + self._known_peer_load(now_seconds)[0]
         self.backlog.set_sent(
             sent_tokens, self._token_seconds(now_seconds), now_seconds
         )
@@ -149,11 +149,11 @@
     def _token_seconds(self, now_seconds: float) -> float:
         return self.rates.token_seconds * self.slowness.now(now_seconds)
 
-    def _known_others(self, now_seconds: float) -> tuple[float, float]:
+    def _known_peer_load(self, now_seconds: float) -> tuple[float, float]:
         """Return tokens and requests of other daemons; an old word says nothing."""
         if now_seconds - self.reported_seconds > REPORT_SECONDS:
             return 0.0, 0.0
-        return self.others_tokens, self.others_running
+        return self.peers_tokens, self.peers_running
 
     def _remember(self, now_seconds: float) -> None:
         own = OwnLoad(now_seconds, self.queued_prompt_tokens, len(self.in_flight))
@@ -178,37 +178,37 @@
         """
         if report.measured_seconds <= self.reported_seconds:
             return
-        if not self.belief.follow(report.incarnation):
+        if not self.cache_estimate.follow(report.incarnation):
             return
         own = self._own_at(report.measured_seconds)
         self.reported_seconds = report.measured_seconds
         n_requests = report.n_running + report.n_queued
         others_prompts = report.queued_prompt_tokens - own.queued_prompt_tokens
-        others_tokens = max(0, others_prompts) * uncached_share
-        others_running = max(0, n_requests - own.n_running)
+        peers_tokens = max(0, others_prompts) * uncached_share
+        peers_running = max(0, n_requests - own.n_running)
         # The mean of two reports: one alone may have caught a burst that is
         # long gone when it arrives.
-        self.others_tokens = (self.others_tokens + others_tokens) / 2
-        self.others_running = (self.others_running + others_running) / 2
+        self.peers_tokens = (self.peers_tokens + peers_tokens) / 2
+        self.peers_running = (self.peers_running + peers_running) / 2
         self._follow_sent(report.measured_seconds)
 
-    def set_others(self, tokens: int, n_running: int, now_seconds: float) -> None:
+    def set_peer_load(self, tokens: int, n_running: int, now_seconds: float) -> None:
         """Take what the other daemons told that they have here."""
-        self.others_tokens = float(tokens)
-        self.others_running = float(n_running)
+        self.peers_tokens = float(tokens)
+        self.peers_running = float(n_running)
         self.reported_seconds = now_seconds
         self.is_shared = True
         self._follow_sent(now_seconds)
 
     def estimate(self, now_seconds: float) -> tuple[float, float]:
         """Return the tokens without a first token yet there, and the requests there."""
-        others_tokens, others_running = self._known_others(now_seconds)
-        n_running = len(self.in_flight) + others_running
-        return self.queued_tokens + others_tokens, n_running
+        peers_tokens, peers_running = self._known_peer_load(now_seconds)
+        n_running = len(self.in_flight) + peers_running
+        return self.queued_tokens + peers_tokens, n_running
 
-    def has_room(self, n_running: float, now_seconds: float) -> bool:
+    def has_capacity(self, n_running: float, now_seconds: float) -> bool:
         """Tell whether it may take one more beside ``n_running``."""
-        if self.is_held_back(now_seconds) or n_running >= self.limit():
+        if self.is_throttled(now_seconds) or n_running >= self.limit():
             return False
         if self.is_shared:
             token_seconds = self._token_seconds(now_seconds)
@@ -216,26 +216,35 @@
         # One request may always go: windows are narrower than long prompts.
         return not self.queued_tokens or self.queued_tokens < self.window.tokens
 
-    def is_held_back(self, now_seconds: float) -> bool:
+    def is_throttled(self, now_seconds: float) -> bool:
         """Tell whether its limit, or a back-off, leaves nothing to this daemon now."""
         if self.backoff_until_seconds > now_seconds:
             return True
-        return self.pace is not None and self.pace.next_seconds > now_seconds
+        return (
+            self.rate_limiter is not None
+            and self.rate_limiter.next_seconds > now_seconds
+        )
 
-    def held_back_seconds(self, now_seconds: float, n_ahead: int = 0) -> float:
+    def throttled_seconds(self, now_seconds: float, n_ahead: int = 0) -> float:
         """Return how long a request is held back behind ``n_ahead`` others."""
         backoff_seconds = max(0.0, self.backoff_until_seconds - now_seconds)
-        if self.pace is None:
+        if self.rate_limiter is None:
             return backoff_seconds
-        return max(backoff_seconds, self.pace.wait_seconds(now_seconds, n_ahead))
+        return max(
+            backoff_seconds, self.rate_limiter.wait_seconds(now_seconds, n_ahead)
+        )
 
-    def places(self, now_seconds: float) -> float:
+    def free_slots(self, now_seconds: float) -> float:
         """Return for how many more requests it has room; one where prompts wait."""
         n_running = self.estimate(now_seconds)[1]
-        if not self.has_room(n_running, now_seconds):
+        if not self.has_capacity(n_running, now_seconds):
             return 0.0
         is_engine = self.view.cache_tokens > 0
-        return 1.0 if is_engine or self.pace is not None else self.limit() - n_running
+        return (
+            1.0
+            if is_engine or self.rate_limiter is not None
+            else self.limit() - n_running
+        )
 
     def limit(self) -> float:
         """Return the most requests that it should hold."""
--- a/lycheepost/decide/placement.py
+++ b/lycheepost/decide/placement.py
@@ -63,7 +63,7 @@
             or fetched by it from a KV store.
         uncached_tokens: Prompt tokens to prefill there.
         can_take: Whether the target has room for it now.
-        held_back_seconds: The part of the wait that the target's limit or its back-off
+        throttled_seconds: The part of the wait that the target's limit or its back-off
             makes.
     """
 
@@ -73,10 +73,10 @@
     uncached_tokens: int
     ahead_tokens: float
     can_take: bool
-    held_back_seconds: float = 0.0
+    throttled_seconds: float = 0.0
 
 
-class Ahead:
+class WaitingByTarget:
     """Requests of our own queue that wait for a target, by target.
 
     Without them the target of a hot prefix looks as if only its running work
@@ -129,12 +129,12 @@
         """Tell whether no target takes new work."""
         return not self._serving
 
-    def has_room(self, now_seconds: float) -> bool:
+    def has_capacity(self, now_seconds: float) -> bool:
         """Tell whether some target may take work now; guesses in large groups."""
         if len(self._serving) > SCORE_ALL_TARGETS:
             return True
         return any(
-            load.has_room(load.estimate(now_seconds)[1], now_seconds)
+            load.has_capacity(load.estimate(now_seconds)[1], now_seconds)
             for load in self._serving
         )
 
@@ -147,9 +147,9 @@
         loads = self._serving
         if len(loads) > SCORE_ALL_TARGETS:
             loads = self._rng.sample(loads, SCORE_ALL_TARGETS)
-        loads = [load for load in loads if not load.is_held_back(now_seconds)] or loads
+        loads = [load for load in loads if not load.is_throttled(now_seconds)] or loads
         n_full = sum(
-            not load.has_room(load.estimate(now_seconds)[1], now_seconds)
+            not load.has_capacity(load.estimate(now_seconds)[1], now_seconds)
             for load in loads
         )
         return n_full / max(1, len(loads))
@@ -189,8 +189,8 @@
         work: Work,
         now_seconds: float,
         avoid: frozenset[TargetId] | set[TargetId],
-        ahead_of: Ahead,
-        is_late: bool = False,
+        waiting_ahead: WaitingByTarget,
+        ignores_pressure: bool = False,
     ) -> Choice | None:
         """Return the best placement of ``work``; None when no target fits.
 
@@ -198,22 +198,24 @@
             work: The request to place.
             now_seconds: The present time.
             avoid: Targets that must not get this request.
-            ahead_of: Requests ahead in the queue that wait for a target.
-            is_late: Leave out the price of recomputation under pressure.
+            waiting_ahead: Requests ahead in the queue that wait for a target.
+            ignores_pressure: Leave out the price of recomputation under pressure.
         """
         owners = self._ring.owners(_owner_key(work), OWNER_STEPS)
         usable = _usable(self._candidates(work, owners), work, avoid)
-        free = _not_held_back(usable, now_seconds)
+        free = _not_throttled(usable, now_seconds)
         if not free:
             # All candidates have failed it, or are kept from it or held back:
             # rare enough to look at every target rather than refuse it before
             # thousands.
             usable = _usable(self._serving, work, avoid)
-            free = _not_held_back(usable, now_seconds)
+            free = _not_throttled(usable, now_seconds)
         if not usable:
             return None
         chosen_from = free or usable
-        return self._lowest(chosen_from, owners, now_seconds, ahead_of, work, is_late)
+        return self._lowest(
+            chosen_from, owners, now_seconds, waiting_ahead, work, ignores_pressure
+        )
 
     def _step_seconds(self, work: Work) -> float:
         """Return what a step away from the first owner costs.
@@ -229,9 +231,9 @@
         usable: list[tuple[TargetLoad, int, int]],
         owners: list[TargetId],
         now_seconds: float,
-        ahead_of: Ahead,
+        waiting_ahead: WaitingByTarget,
         work: Work,
-        is_late: bool,
+        ignores_pressure: bool,
     ) -> Choice:
         """Return the target of lowest cost.
 
@@ -243,7 +245,7 @@
         token_seconds = rates.token_seconds
         wait_weight = self._settings.wait_weight
         price = self._settings.recompute_weight
-        if not is_late:
+        if not ignores_pressure:
             price += PRESSURE_PRICE * self.pressure
         step_seconds = self._step_seconds(work)
         least_uncached = min([item[1] for item in usable])
@@ -252,17 +254,20 @@
         for load, uncached, fetched in usable:
             target = load.view.target
             ahead, n_running = load.estimate(now_seconds)
-            if ahead_of.tokens:
-                ahead += ahead_of.tokens.get(target, 0)
-                n_ahead = ahead_of.requests.get(target, 0)
+            if waiting_ahead.tokens:
+                ahead += waiting_ahead.tokens.get(target, 0)
+                n_ahead = waiting_ahead.requests.get(target, 0)
             else:
                 n_ahead = 0
             prefill = uncached * token_seconds
             prefill += fetched * load.view.fetch_token_seconds
             wait = rates.first_token_seconds + ahead * token_seconds + prefill
             wait *= load.slowness.now(now_seconds)
-            if load.pace is not None or load.backoff_until_seconds > now_seconds:
-                wait += load.held_back_seconds(now_seconds, n_ahead)
+            if (
+                load.rate_limiter is not None
+                or load.backoff_until_seconds > now_seconds
+            ):
+                wait += load.throttled_seconds(now_seconds, n_ahead)
             excess = n_running + n_ahead + 1.0 - load.limit()
             if excess > 0.0:
                 wait += excess * rates.hold_seconds / load.limit()
@@ -278,11 +283,11 @@
                 best = (load, uncached, wait, ahead, n_running)
         assert best is not None
         load, uncached, wait, ahead, n_running = best
-        can_take = load.has_room(n_running, now_seconds)
+        can_take = load.has_capacity(n_running, now_seconds)
         cached = work.prompt_tokens - uncached
-        n_ahead = ahead_of.requests.get(load.view.target, 0)
-        held_back_seconds = load.held_back_seconds(now_seconds, n_ahead)
-        return Choice(load, wait, cached, uncached, ahead, can_take, held_back_seconds)
+        n_ahead = waiting_ahead.requests.get(load.view.target, 0)
+        throttled_seconds = load.throttled_seconds(now_seconds, n_ahead)
+        return Choice(load, wait, cached, uncached, ahead, can_take, throttled_seconds)
 
 
 def _usable(
@@ -303,7 +308,7 @@
         view = load.view
         if view.target in avoid or (version and view.weights_version != version):
             continue
-        cached = load.belief.cached_tokens(work.levels)
+        cached = load.cache_estimate.cached_tokens(work.levels)
         kept = work.kept_tokens if view.fetch_token_seconds > 0.0 else 0
         fetched = kept - cached if kept > cached else 0
         uncached = work.prompt_tokens - cached - fetched
@@ -311,7 +316,7 @@
     return usable
 
 
-def _not_held_back(
+def _not_throttled(
     usable: list[tuple[TargetLoad, int, int]], now_seconds: float
 ) -> list[tuple[TargetLoad, int, int]]:
     """Return the targets that are not held back from this daemon now.
@@ -320,7 +325,7 @@
     or for the end of its back-off, would be late, and the queue that it makes would
     have others refused.
     """
-    return [item for item in usable if not item[0].is_held_back(now_seconds)]
+    return [item for item in usable if not item[0].is_throttled(now_seconds)]
 
 
 def _takes_new_work(load: TargetLoad) -> bool:
--- a/lycheepost/decide/queueing.py
+++ b/lycheepost/decide/queueing.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedRequest:
     """One queued request.
 
     Attributes:
@@ -50,9 +50,9 @@
         cost_seconds: Predicted engine time.
         deadline_seconds: When the caller leaves.
         give_up_seconds: When it is refused if it still waits.
-        hopeful_until_seconds: Sent out by then it may still meet its objective.
+        latest_dispatch_seconds: Sent out by then it may still meet its objective.
         predicted_seconds: Wait that was predicted for it.
-        bound: The target it waits for and the tokens to prefill there.
+        awaited_target: The target it waits for and the tokens to prefill there.
     """
 
     work: Work
@@ -61,9 +61,9 @@
     deadline_seconds: float
     give_up_seconds: float
     enqueued_seconds: float
-    hopeful_until_seconds: float = float("inf")
+    latest_dispatch_seconds: float = float("inf")
     predicted_seconds: float = 0.0
-    bound: tuple[TargetId, int] | None = None
+    awaited_target: tuple[TargetId, int] | None = None
 
 
 @dataclass(slots=True)
@@ -74,11 +74,11 @@
     weight: float = 1.0
     virtual_seconds: float = 0.0
     queued_cost_seconds: float = 0.0
-    waiting: list[Waiting] = field(default_factory=list)
+    waiting: list[QueuedRequest] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
-class _Head:
+class _LaneCursor:
     """How far a look through one lane has come."""
 
     virtual_seconds: float
@@ -96,7 +96,7 @@
     return (
         work.arrived_seconds
         + work.priority.value * PRIORITY_SECONDS
-        + length * LENGTH_SHARE * work.patience_seconds
+        + length * LENGTH_SHARE * work.first_token_timeout_seconds
     )
 
 
@@ -106,7 +106,7 @@
     def __init__(self) -> None:
         self.lanes: dict[CustomerId, Lane] = {}
         self._weights: dict[CustomerId, float] = {}
-        self._by_request: dict[RequestId, Waiting] = {}
+        self._by_request: dict[RequestId, QueuedRequest] = {}
         self.mean_seconds: float | None = None
         self.virtual_seconds = 0.0
         self.queued_cost_seconds = 0.0
@@ -138,12 +138,12 @@
         cost_seconds: float,
         now_seconds: float,
         give_up_seconds: float | None = None,
-    ) -> Waiting:
+    ) -> QueuedRequest:
         """Return a queue entry, ranked against the mean cost so far."""
         mean_seconds = self.mean_seconds or cost_seconds
         self.mean_seconds = mean_seconds + COST_GAIN * (cost_seconds - mean_seconds)
-        deadline_seconds = work.arrived_seconds + work.patience_seconds
-        return Waiting(
+        deadline_seconds = work.arrived_seconds + work.first_token_timeout_seconds
+        return QueuedRequest(
             work=work,
             rank=rank_of(work, cost_seconds, mean_seconds),
             cost_seconds=cost_seconds,
@@ -152,7 +152,7 @@
             enqueued_seconds=now_seconds,
         )
 
-    def ahead_seconds(self, waiting: Waiting) -> float:
+    def ahead_seconds(self, waiting: QueuedRequest) -> float:
         """Return the cost of its customer's requests that rank before it."""
         lane = self.lane(waiting.work.customer)
         index = bisect_right(lane.waiting, waiting.rank, key=_BY_RANK)
@@ -160,7 +160,7 @@
             return lane.queued_cost_seconds
         return sum(item.cost_seconds for item in lane.waiting[:index])
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedRequest) -> None:
         """Add a request behind those of its customer that rank before it."""
         lane = self.lane(waiting.work.customer)
         if not lane.waiting:
@@ -181,7 +181,7 @@
         """
         return self.lane(customer).virtual_seconds - self.virtual_seconds
 
-    def remove(self, request: RequestId) -> Waiting | None:
+    def remove(self, request: RequestId) -> QueuedRequest | None:
         """Take a request out; None when it does not wait here."""
         waiting = self._by_request.pop(request, None)
         if waiting is None:
@@ -207,7 +207,7 @@
 
     def in_order(
         self, limit: int, is_inside: Callable[[CustomerId], bool] | None = None
-    ) -> Iterator[Waiting]:
+    ) -> Iterator[QueuedRequest]:
         """Yield up to ``limit`` requests in fair order, as of the call.
 
         Args:
@@ -215,20 +215,20 @@
             is_inside: Tells customers that ask for no more than their share;
                 theirs go first, as they cannot crowd out the others.
         """
-        heads = [
-            _Head(self._start_of(lane, is_inside), lane)
+        cursors = [
+            _LaneCursor(self._start_of(lane, is_inside), lane)
             for lane in self.lanes.values()
             if lane.waiting
         ]
-        picked: list[Waiting] = []
-        while heads and len(picked) < limit:
-            head = min(heads, key=_BY_VIRTUAL)
-            waiting = head.lane.waiting[head.index]
+        picked: list[QueuedRequest] = []
+        while cursors and len(picked) < limit:
+            cursor = min(cursors, key=_BY_VIRTUAL)
+            waiting = cursor.lane.waiting[cursor.index]
             picked.append(waiting)
-            head.virtual_seconds += waiting.cost_seconds / head.lane.weight
-            head.index += 1
-            if head.index == len(head.lane.waiting):
-                heads.remove(head)
+            cursor.virtual_seconds += waiting.cost_seconds / cursor.lane.weight
+            cursor.index += 1
+            if cursor.index == len(cursor.lane.waiting):
+                cursors.remove(cursor)
         return iter(picked)
 
     def _start_of(
@@ -238,6 +238,6 @@
             return lane.virtual_seconds - INSIDE_LEAD_SECONDS
         return lane.virtual_seconds
 
-    def all(self) -> list[Waiting]:
+    def all(self) -> list[QueuedRequest]:
         """Return every waiting request."""
         return list(self._by_request.values())
--- a/lycheepost/decide/records.py
+++ b/lycheepost/decide/records.py
@@ -83,7 +83,7 @@
         prompt_tokens: Estimated tokens of the whole prompt.
         output_tokens: Expected tokens of the answer.
         arrived_seconds: When the daemon received the request.
-        patience_seconds: How long the caller waits for the first token.
+        first_token_timeout_seconds: How long the caller waits for the first token.
         excluded: Targets that have already failed this request.
         objective_seconds: From its arrival to a first token that is on time; infinite
             where none is told.
@@ -101,7 +101,7 @@
     output_tokens: int
     priority: Priority
     arrived_seconds: float
-    patience_seconds: float
+    first_token_timeout_seconds: float
     fingerprint: BodyFingerprint
     is_idempotent: bool = True
     excluded: frozenset[TargetId] = field(default_factory=frozenset)
--- a/lycheepost/decide/rollout.py
+++ b/lycheepost/decide/rollout.py
@@ -15,26 +15,26 @@
 
 from lycheepost.core.ids import ModelId, TargetId, WeightsVersion
 
-AT_ONCE_SHARE = 0.34
+MAX_CHANGING_SHARE = 0.34
 """Part of a group that changes at once. The rest carries the traffic meanwhile; at
 half of a group, callers would wait longer than the change takes."""
 
 
-LEAST_ALONE_SECONDS = 0.1
+MIN_DRAIN_SECONDS = 0.1
 """Time for the word that a target changes to reach all daemons, and for what they had
 sent by then to show in the load that they tell."""
 
-MOST_ALONE_SECONDS = 0.6
+MAX_DRAIN_SECONDS = 0.6
 """Longest time that a target waits without new work for its runs to end, when no other
 serves old weights any more. Most streams are shorter; a longer wait keeps the others
 busier."""
 
 
 def is_due(
-    alone_seconds: float,
+    drained_seconds: float,
     n_running: int,
     old_share: float,
-    most_seconds: float = MOST_ALONE_SECONDS,
+    max_seconds: float = MAX_DRAIN_SECONDS,
 ) -> bool:
     """Tell whether a target that gets no new work is ordered now.
 
@@ -43,14 +43,14 @@
     ones as long as it is worth to their runs.
 
     Args:
-        alone_seconds: For how long it has got none.
+        drained_seconds: For how long it has got none.
         n_running: Requests that it still runs, as far as known.
         old_share: Part of all targets that serve on old weights meanwhile.
-        most_seconds: Longest time to wait for their end.
+        max_seconds: Longest time to wait for their end.
     """
-    if alone_seconds < LEAST_ALONE_SECONDS:
+    if drained_seconds < MIN_DRAIN_SECONDS:
         return False
-    return n_running == 0 or alone_seconds >= most_seconds * (1.0 - old_share)
+    return n_running == 0 or drained_seconds >= max_seconds * (1.0 - old_share)
 
 
 def old_share(wanted: int, targets: Sequence["TargetWeights"]) -> float:
@@ -85,9 +85,9 @@
     version: WeightsVersion
 
 
-def most_at_once(n_targets: int) -> int:
+def max_changing(n_targets: int) -> int:
     """Return how many targets of a group may change at the same time."""
-    return max(1, int(n_targets * AT_ONCE_SHARE))
+    return max(1, int(n_targets * MAX_CHANGING_SHARE))
 
 
 def next_orders(
@@ -100,7 +100,7 @@
         wanted: Place of the newest version.
         targets: All targets of the model.
     """
-    n_free = most_at_once(len(targets)) - sum(item.is_changing for item in targets)
+    n_free = max_changing(len(targets)) - sum(item.is_changing for item in targets)
     ready = [item for item in targets if item.version < wanted and not item.is_changing]
     ready.sort(key=lambda item: (item.n_running, item.target))
     version = WeightsVersion(str(wanted))
--- a/lycheepost/decide/routes.py
+++ b/lycheepost/decide/routes.py
@@ -19,7 +19,7 @@
 _BITS = 8.0
 _MEGA = 1e6
 
-ANYBODY = KeyHolder(CustomerId(""))
+ANONYMOUS = KeyHolder(CustomerId(""))
 """Who asks on a public route, or where no keys are in use."""
 
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class RouteMatch:
     """A request's route and its sender.
 
     Attributes:
@@ -49,9 +49,9 @@
     return next((route for route in routes if path.startswith(route.path_prefix)), None)
 
 
-def find_way(
+def match_route(
     table: RouteTable, host: str, path: str, key: str | None
-) -> Way | RouteFault:
+) -> RouteMatch | RouteFault:
     """Return a request's route and sender, or why it has none.
 
     Args:
@@ -64,11 +64,11 @@
     if route is None:
         return RouteFault.NO_ROUTE
     if route.is_public or table.key_holders is None:
-        return Way(route, ANYBODY, False)
+        return RouteMatch(route, ANONYMOUS, False)
     holder = table.key_holders.get(key) if key is not None else None
     if holder is None:
         return RouteFault.UNKNOWN_KEY
-    return Way(route, holder, True)
+    return RouteMatch(route, holder, True)
 
 
 def choose_group(route: Route, point: float) -> TargetGroupId:
--- a/lycheepost/decide/scheduler.py
+++ b/lycheepost/decide/scheduler.py
@@ -16,7 +16,7 @@
     TargetId,
 )
 from lycheepost.decide.admission import retry_after_seconds
-from lycheepost.decide.belief import CacheBelief
+from lycheepost.decide.cacheestimate import CacheEstimate
 from lycheepost.decide.group import Group
 from lycheepost.decide.load import TargetLoad
 from lycheepost.decide.peerloads import UnderWay
@@ -81,7 +81,7 @@
         outcomes: list[Outcome] = []
         for group in self._groups.values():
             group.placement.refresh()
-            outcomes.extend(group.pump(now_seconds))
+            outcomes.extend(group.dispatch_waiting(now_seconds))
         return outcomes
 
     def _forget_backoffs(
@@ -102,9 +102,9 @@
         self._group_by_target[view.target] = group
         load = group.placement.loads.get(view.target)
         if load is None:
-            belief = CacheBelief(view.incarnation, view.cache_tokens)
+            cache_estimate = CacheEstimate(view.incarnation, view.cache_tokens)
             group.placement.loads[view.target] = TargetLoad(
-                view, belief, group.placement.rates
+                view, cache_estimate, group.placement.rates
             )
             self._pass_limit(view.target, now_seconds)
             self._pass_backoff(view.target)
@@ -187,7 +187,7 @@
         is_spent = len(work.excluded) >= self._settings.max_tries
         if is_spent or self._refuse_early(work, now_seconds) is not None:
             return False
-        if not self._group(work.target_group).has_room_for(work, now_seconds):
+        if not self._group(work.target_group).has_capacity_for(work, now_seconds):
             return False
         return self._spend(work, now_seconds)
 
@@ -245,7 +245,7 @@
                 self._losses.append(loss)
         if entry is not None and kind is FinishKind.COMPLETE:
             self._quarantine.clear(entry.work.fingerprint)
-        outcomes = group.pump(now_seconds)
+        outcomes = group.dispatch_waiting(now_seconds)
         self._forget_refused(outcomes)
         return outcomes
 
@@ -255,7 +255,7 @@
         if group is None or not group.remove(request):
             return []
         del self._group_by_request[request]
-        return group.pump(now_seconds)
+        return group.dispatch_waiting(now_seconds)
 
     def has_work(self) -> bool:
         """Tell whether any request waits or runs."""
@@ -293,7 +293,7 @@
             self._limits[target] = per_second
         self._pass_limit(target, now_seconds)
         group = self._group_by_target.get(target)
-        return [] if group is None else group.pump(now_seconds)
+        return [] if group is None else group.dispatch_waiting(now_seconds)
 
     def back_off(self, target: TargetId, until_seconds: float) -> None:
         """Send a target nothing until then, as it has asked."""
@@ -304,14 +304,14 @@
         """Tell a target's group until when it is backed off."""
         group = self._group_by_target.get(target)
         if group is not None and target in self._backoffs:
-            group.paces.back_off(target, self._backoffs[target])
+            group.throttle.back_off(target, self._backoffs[target])
 
     def _pass_limit(self, target: TargetId, now_seconds: float) -> None:
         """Tell a target's group of its limit."""
         group = self._group_by_target.get(target)
         if group is not None:
             per_second = self._limits.get(target)
-            group.paces.set_limit(
+            group.throttle.set_limit(
                 target, per_second, self._n_sharing_limits, now_seconds
             )
 
@@ -323,11 +323,13 @@
         for target in self._limits:
             self._pass_limit(target, now_seconds)
 
-    def note_others(self, target: TargetId, load: UnderWay, now_seconds: float) -> None:
+    def set_peer_load(
+        self, target: TargetId, load: UnderWay, now_seconds: float
+    ) -> None:
         """Take what the other daemons have under way at a target."""
         group = self._group_by_target.get(target)
         if group is not None:
-            group.placement.loads[target].set_others(
+            group.placement.loads[target].set_peer_load(
                 load.queued_tokens, load.n_running, now_seconds
             )
 
@@ -349,11 +351,11 @@
             sorted(name for name, group in self._groups.items() if group.n_waiting)
         )
 
-    def pump(self, now_seconds: float) -> list[Outcome]:
+    def dispatch_waiting(self, now_seconds: float) -> list[Outcome]:
         """Send out what waits and has room by what the others told."""
         outcomes: list[Outcome] = []
         for group in self._groups.values():
-            outcomes.extend(group.pump(now_seconds))
+            outcomes.extend(group.dispatch_waiting(now_seconds))
         return outcomes
 
     def under_way(self) -> dict[TargetId, UnderWay]:
@@ -376,7 +378,7 @@
         """Take in a target's cache events."""
         group = self._group_by_target.get(target)
         if group is not None:
-            group.placement.loads[target].belief.observe(boot_id, events)
+            group.placement.loads[target].cache_estimate.observe(boot_id, events)
 
     def quarantine(self, fingerprint: BodyFingerprint, until_seconds: float) -> None:
         """Refuse a fingerprint that a peer has quarantined."""
--- a/lycheepost/decide/suspects.py
+++ b/lycheepost/decide/suspects.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 from lycheepost.core.ids import TargetId
-from lycheepost.decide.placement import Ahead, Choice, Placement
+from lycheepost.decide.placement import Choice, Placement, WaitingByTarget
 from lycheepost.decide.quarantine import PeerSuspects, Quarantine
 from lycheepost.decide.records import Work
 
@@ -44,18 +44,20 @@
         self._tried = []
         return tried
 
-    def choose(self, work: Work, now_seconds: float, ahead_of: Ahead) -> Choice | None:
+    def choose(
+        self, work: Work, now_seconds: float, waiting_ahead: WaitingByTarget
+    ) -> Choice | None:
         """Return where to try a suspect; None where no target fits."""
         alone = work.excluded | self._targets_with_suspects(now_seconds)
-        choice = self._choose_apart(work, now_seconds, alone, ahead_of)
+        choice = self._choose_apart(work, now_seconds, alone, waiting_ahead)
         if choice is None:
-            choice = self._placement.best(work, now_seconds, alone, ahead_of)
+            choice = self._placement.best(work, now_seconds, alone, waiting_ahead)
         if choice is not None:
             return choice
         # A target that is lost with many requests makes them all suspects, more
         # than there are targets to try each alone on. They wait for their turn;
         # refusing them would fail the innocent ones.
-        choice = self._placement.best(work, now_seconds, work.excluded, ahead_of)
+        choice = self._placement.best(work, now_seconds, work.excluded, waiting_ahead)
         return None if choice is None else replace(choice, can_take=False)
 
     def _choose_apart(
@@ -63,7 +65,7 @@
         work: Work,
         now_seconds: float,
         avoid: frozenset[TargetId],
-        ahead_of: Ahead,
+        waiting_ahead: WaitingByTarget,
     ) -> Choice | None:
         """Choose the target on which only this suspect is tried by any daemon.
 
@@ -80,7 +82,7 @@
             return None
         own = targets[place % len(targets)]
         others = avoid | (frozenset(targets) - {own})
-        choice = self._placement.best(work, now_seconds, others, ahead_of)
+        choice = self._placement.best(work, now_seconds, others, waiting_ahead)
         return choice if choice is not None and choice.can_take else None
 
     def _targets_with_suspects(self, now_seconds: float) -> frozenset[TargetId]:
--- a/lycheepost/decide/paces.py
+++ b/lycheepost/decide/throttling.py
@@ -8,7 +8,7 @@
 from lycheepost.decide.sendpace import SendPace, make_send_pace
 
 
-class TargetPaces:
+class TargetThrottle:
     """Holds the targets of one group back, each as it has asked.
 
     Args:
@@ -21,7 +21,7 @@
     ) -> None:
         self._loads = loads
         self._rng = rng
-        self._paces: dict[TargetId, SendPace] = {}
+        self._rate_limiters: dict[TargetId, SendPace] = {}
 
     def set_limit(
         self,
@@ -40,13 +40,15 @@
         """
         load = self._loads[target]
         if per_second is None:
-            load.pace = None
+            load.rate_limiter = None
             self.forget(target)
-        elif load.pace is None:
-            load.pace = make_send_pace(per_second, n_daemons, now_seconds, self._rng)
-            self._paces[target] = load.pace
+        elif load.rate_limiter is None:
+            load.rate_limiter = make_send_pace(
+                per_second, n_daemons, now_seconds, self._rng
+            )
+            self._rate_limiters[target] = load.rate_limiter
         else:
-            load.pace.change(per_second, n_daemons, now_seconds)
+            load.rate_limiter.change(per_second, n_daemons, now_seconds)
 
     def back_off(self, target: TargetId, until_seconds: float) -> None:
         """Send a target nothing until then."""
@@ -54,9 +56,9 @@
 
     def forget(self, target: TargetId) -> None:
         """Forget the pace of a target that has no limit, or has left the group."""
-        self._paces.pop(target, None)
+        self._rate_limiters.pop(target, None)
 
     def renew_unused(self, now_seconds: float) -> None:
         """Draw new moments where the last ones were left unused for too long."""
-        for pace in self._paces.values():
-            pace.renew_unused(now_seconds, self._rng)
+        for rate_limiter in self._rate_limiters.values():
+            rate_limiter.renew_unused(now_seconds, self._rng)
--- a/lycheepost/operators/weightsrollout.py
+++ b/lycheepost/operators/weightsrollout.py
@@ -19,7 +19,7 @@
 from lycheepost.core.routing import ListedTarget
 from lycheepost.core.starts import TargetStart
 from lycheepost.decide.rollout import (
-    MOST_ALONE_SECONDS,
+    MAX_DRAIN_SECONDS,
     TargetWeights,
     WeightsOrder,
     is_due,
@@ -104,7 +104,7 @@
         groups_of: Callable[[ModelId], tuple[TargetGroupId, ...]],
         tell: Callable[[TargetsChanging], None],
         count_running: Callable[[TargetId], int],
-        most_alone_seconds: float = MOST_ALONE_SECONDS,
+        most_alone_seconds: float = MAX_DRAIN_SECONDS,
     ) -> None:
         self._most_alone_seconds = most_alone_seconds
         self._count_running = count_running
@@ -270,15 +270,15 @@
     async def _wait_alone(self, order: WeightsOrder) -> None:
         """Wait until a target that gets no new work may be ordered."""
         began_seconds = self._clock.now_seconds()
-        alone_seconds = 0.0
+        drained_seconds = 0.0
         while not is_due(
-            alone_seconds,
+            drained_seconds,
             self._count_running(order.target),
             old_share(weights_number(order.version), self._all_weights(order.model)),
             self._most_alone_seconds,
         ):
             await asyncio.sleep(LOOK_SECONDS)
-            alone_seconds = self._clock.now_seconds() - began_seconds
+            drained_seconds = self._clock.now_seconds() - began_seconds
 
     def _announce(self, start: TargetStart, order: WeightsOrder, is_done: bool) -> None:
         """Keep new work off a target, or let it come, here and at the peers."""
--- a/lycheepost/platform/following.py
+++ b/lycheepost/platform/following.py
@@ -8,7 +8,11 @@
 from lycheepost.core.clock import Clock
 from lycheepost.core.ids import ModelId, TargetId
 from lycheepost.core.routing import ListedTarget
-from lycheepost.decide.freshness import MOST_HELD_SECONDS, KeyRule, held_seconds
+from lycheepost.decide.freshness import (
+    MAX_LONG_POLL_SECONDS,
+    KeyTrustRule,
+    long_poll_seconds,
+)
 from lycheepost.platform.documents import (
     CONFIGURATION_KEY,
     OPERATOR_TABLE,
@@ -149,7 +153,7 @@
     clock: Clock,
     operators: OperatorFollower,
     servers: ServerFollower,
-    key_rule: Callable[[], KeyRule],
+    key_rule: Callable[[], KeyTrustRule],
     seed: int,
 ) -> tuple[Watch, Watch]:
     """Return the watches of the operators' and the servers' tables."""
@@ -158,7 +162,7 @@
             feed,
             OPERATOR_TABLE,
             clock,
-            lambda: held_seconds(key_rule()),
+            lambda: long_poll_seconds(key_rule()),
             operators.take,
             seed,
         ),
@@ -166,7 +170,7 @@
             feed,
             SERVER_TABLE,
             clock,
-            lambda: MOST_HELD_SECONDS,
+            lambda: MAX_LONG_POLL_SECONDS,
             servers.take,
             seed + 1,
         ),
--- a/lycheepost/platform/ingress.py
+++ b/lycheepost/platform/ingress.py
@@ -254,8 +254,12 @@
 
 def _first_wait_seconds(request: ForwardRequest) -> float:
     """Return how long a request waits for a daemon that has just started."""
-    patience_seconds = request.patience_seconds
-    return math.inf if patience_seconds is None else FIRST_SHARE * patience_seconds
+    first_token_timeout_seconds = request.first_token_timeout_seconds
+    return (
+        math.inf
+        if first_token_timeout_seconds is None
+        else FIRST_SHARE * first_token_timeout_seconds
+    )
 
 
 def _status(error: CallerError) -> int:
@@ -306,7 +310,9 @@
         raw_path=request.raw_path,
         headers=tuple(kept),
         key=_decode_key(headers),
-        patience_seconds=None if deadline_ms is None else deadline_ms / _MILLISECONDS,
+        first_token_timeout_seconds=None
+        if deadline_ms is None
+        else deadline_ms / _MILLISECONDS,
         prompt=decode_prompt(headers),
         after_event=header_number(headers, names.LAST_EVENT),
         body=body,
--- a/lycheepost/targets/cachewatch.py
+++ b/lycheepost/targets/cachewatch.py
@@ -14,7 +14,7 @@
 from returns.result import Failure, Result, Success
 
 from lycheepost.core.ids import Incarnation, TargetId
-from lycheepost.decide.belief import COUNT_ANEW
+from lycheepost.decide.cacheestimate import RESTART_SEQUENCE
 from lycheepost.generated.engine import CacheEvent, CacheEventKind
 from lycheepost.targets.errors import TargetError
 from lycheepost.utils.tasks import start_task
@@ -79,7 +79,7 @@
 
 OnEvents = Callable[[CacheSource, tuple[CacheEvent, ...]], None]
 
-CLEARED = CacheEvent(sequence=COUNT_ANEW, kind=CacheEventKind.CLEARED, digest=0)
+CLEARED = CacheEvent(sequence=RESTART_SEQUENCE, kind=CacheEventKind.CLEARED, digest=0)
 
 
 class CacheWatch:
