--- a/features/decide/steps/common.py
+++ b/features/decide/steps/common.py
@@ -64,7 +64,7 @@
         "output_tokens": 50,
         "priority": Priority.NORMAL,
         "arrived_seconds": now_seconds,
-        "patience_seconds": first_token_timeout_seconds,
+        "first_token_timeout_seconds": first_token_timeout_seconds,
         "fingerprint": fingerprint_body(CustomerId(customer), text),
     }
     return Work(**(fields | changes))
--- a/lycheepost/core/__init__.py
+++ b/lycheepost/core/__init__.py
@@ -1,1 +1,1 @@
-"""Plain immutable records, ids, clocks and hashing that all parts speak."""
+"""Immutable records, ids, clocks and hashing shared by all packages."""
--- a/lycheepost/core/capacity.py
+++ b/lycheepost/core/capacity.py
@@ -1,4 +1,4 @@
-"""What the VM of a daemon can carry, as its platform states it."""
+"""Capacity of a daemon's VM, as stated by the platform."""
 
 from dataclasses import dataclass
 
@@ -8,9 +8,9 @@
     """Limits of one VM.
 
     Attributes:
-        processor_cores: Processor time that it has in a second, in cores of the usual
-            speed; 0 where that is not known.
-        link_mbps: Speed of its network link; 0 where that is not known.
+        processor_cores: Processor time per second, in cores of standard speed; 0 if
+            unknown.
+        link_mbps: Bandwidth of its network link; 0 if unknown.
     """
 
     processor_cores: float = 0.0
--- a/lycheepost/core/hashing.py
+++ b/lycheepost/core/hashing.py
@@ -1,8 +1,8 @@
 """Stable 64-bit hashes for prefixes, bodies and rendezvous ordering.
 
-xxHash (XXH3) is used because it is the same on every machine and release,
-unlike Python's ``hash``, and costs far less than a cryptographic hash. Nothing
-here protects a secret; keys of customers are hashed in ``operators.keys``.
+xxHash (XXH3) is used because, unlike Python's ``hash``, it is the same on every machine
+and release, and it is far cheaper than a cryptographic hash. Nothing here protects a
+secret; customers' keys are hashed in ``operators.keys``.
 """
 
 from collections.abc import Iterable
@@ -30,8 +30,8 @@
 def rendezvous_order(key: int, names: Iterable[str]) -> list[str]:
     """Return ``names`` from the highest to the lowest rendezvous weight.
 
-    Adding or removing one name moves only the keys which that name wins, so
-    that a target joining or leaving disturbs no other target's cache.
+    Adding or removing a name moves only the keys that are mapped to it, so a target
+    that joins or leaves does not affect the caches of others.
     """
     seed = key & 0xFFFFFFFFFFFFFFFF
     return sorted(names, key=lambda name: hash_bytes(name.encode(), seed), reverse=True)
--- a/lycheepost/core/routing.py
+++ b/lycheepost/core/routing.py
@@ -1,8 +1,7 @@
-"""Routes: which request goes to which target group, for whom and under which rules.
+"""Records of routes, target groups and customers' keys.
 
-A route table is one operator's configuration, decoded. It is immutable; a new
-version is a new table. Prompts are described here as parts with token counts, as
-the callers of routes state them.
+A route table is one operator's decoded configuration. It is immutable; a new version is
+a new table. Prompts are described as parts with token counts, as callers state them.
 """
 
 from collections.abc import Mapping
@@ -22,7 +21,7 @@
 
 
 class RouteKind(Enum):
-    """What of a route's requests may be repeated."""
+    """Whether a route's requests may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -31,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupShare:
-    """A target group's part of a route's traffic; weights are relative."""
+    """A target group's share of a route's traffic; weights are relative."""
 
     target_group: TargetGroupId
     weight: float
@@ -42,17 +41,17 @@
     """One route.
 
     Attributes:
-        host: Host name that callers ask for.
+        host: Requested host name.
         path_prefix: Begins and ends with a slash.
         shares: The target groups that serve it; at least one.
-        timeout_seconds: Longest time from arrival to the end of the answer.
-        objective_seconds: Time to the (first part of the) answer that is aimed at.
-        gap_seconds: Longest pause between the events of a stream that is on time;
-            0 for other kinds.
+        timeout_seconds: Longest time from arrival to the end of the response.
+        objective_seconds: Latency objective for the response, or for its first part.
+        gap_seconds: Longest pause between the events of a stream that meets its
+            objective; 0 for other kinds.
         max_runs: Most targets that may run one request.
-        rank: How urgent its requests are; 0 is first.
-        is_public: Needs no key.
-        is_resumable: A stream may be continued on another target.
+        rank: Urgency of its requests; 0 is the most urgent.
+        is_public: Whether no key is needed.
+        is_resumable: Whether a stream may be continued on another target.
     """
 
     name: str
@@ -70,7 +69,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Tell whether a request that may have run may be sent again."""
+        """Return whether a request that may have run may be sent again."""
         if self.kind is RouteKind.STREAM:
             return self.is_resumable
         return self.kind is RouteKind.IDEMPOTENT
@@ -78,12 +77,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """What the engines of a target group are able to do.
+    """Capabilities of the engines of a target group.
 
     Attributes:
         kv_tokens: Tokens of KV cache that one engine holds.
         kv_token_bytes: Size of one token's KV cache.
-        link_mbps: Speed of an engine's link.
+        link_mbps: Bandwidth of an engine's link.
         models: Models served.
     """
 
@@ -96,10 +95,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedGroup:
-    """A target group that routes name.
+    """A target group that routes refer to.
 
     Attributes:
-        max_connections: Connections that one of its targets accepts from everybody.
+        max_connections: Connections that one of its targets accepts in total.
         engine: None for plain services.
     """
 
@@ -115,7 +114,7 @@
 
     Attributes:
         address: ``IP:PORT``.
-        link_mbps: Speed of its link; 0 where that is not told.
+        link_mbps: Bandwidth of its link; 0 if not stated.
     """
 
     address: str
@@ -129,8 +128,8 @@
     """The customer that a key belongs to.
 
     Attributes:
-        rank: Goes before the route's rank; None when the customer has none.
-        is_isolated: Shares no cached prompt part with other customers.
+        rank: Takes precedence over the route's rank; None if the customer has none.
+        is_isolated: Whether it shares no cached prompt parts with other customers.
     """
 
     customer: CustomerId
@@ -140,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds of what a caller may send and how long it may take."""
+    """Limits on the size and duration of callers' requests."""
 
     header_bytes: int
     body_bytes: int
@@ -153,12 +152,12 @@
     """One version of the operator's configuration.
 
     Attributes:
-        version: Rises with each change, in uneven steps.
+        version: Increases with each change, not always by one.
         by_host: Routes of each host, longest prefix first.
         groups: Target groups by name.
-        key_holders: Who holds each key; None when no keys are in use.
-        kv_stores: Where engines keep KV cache beyond their own.
-        quotas: What customers may ask of the fleet; one that is not named has no limit.
+        key_holders: The holder of each key; None if no keys are in use.
+        kv_stores: Stores of KV cache outside the engines.
+        quotas: Customers' quotas; a customer that is not listed has no limit.
     """
 
     version: int
@@ -172,10 +171,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """One part of a prompt, as its caller names it.
+    """One part of a prompt, as stated by its caller.
 
     Attributes:
-        part_id: Equal ids mean equal text.
+        part_id: Id of its text; equal ids mean equal text.
     """
 
     part_id: str
@@ -184,10 +183,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """What a caller says of the prompt that its request holds.
+    """A caller's description of its request's prompt.
 
     Attributes:
-        parts: In order; the last one belongs to this request or session alone.
+        parts: In order; the last one is unique to this request or session.
     """
 
     model: ModelId
@@ -201,12 +200,12 @@
     """A target as it registered itself.
 
     Attributes:
-        target: Its name, which it keeps when it starts again.
-        address: ``IP:PORT``; may be another target's later.
-        slots: Requests that it works on at once.
-        is_leaving: It asked for no new work.
-        weights: Weights in place, by model.
-        started_ms: Unix millisecond of its start; None where it states none.
+        target: Its name, which it keeps across restarts.
+        address: ``IP:PORT``; may later be reused by another target.
+        slots: Requests that it processes at the same time.
+        is_leaving: Whether it asked for no new work.
+        weights: Loaded weights, by model.
+        started_ms: Start time in Unix milliseconds; None if it states none.
     """
 
     target: TargetId
@@ -220,7 +219,7 @@
 
     @property
     def start(self) -> TargetStart:
-        """Return which start of the target registered."""
+        """Return the start of the target that registered."""
         return TargetStart(self.target, self.started_ms)
 
 
@@ -233,7 +232,7 @@
     kv_stores: tuple[KvStore, ...],
     quotas: Mapping[CustomerId, Quota] | None = None,
 ) -> RouteTable:
-    """Return a table with its look-ups built."""
+    """Return a table with its lookup index built."""
     by_host: dict[str, list[Route]] = {}
     for route in routes:
         by_host.setdefault(route.host, []).append(route)
--- a/lycheepost/decide/admission.py
+++ b/lycheepost/decide/admission.py
@@ -1,10 +1,9 @@
-"""Whether a request that must wait is worth queueing.
+"""Admission control: decides whether a request that must wait is queued.
 
-The failure: under overload a queue without a bound serves every caller after
-it has left, and the engines work for nobody. It shows as throughput at its
-peak with no answer inside patience. A request whose predicted first token lies
-beyond what its caller waits for is refused on arrival, as not run and with a
-time to come back, while the caller can still do something else.
+With an unbounded queue under overload, every response starts only after its caller has
+timed out: throughput is at its peak, but no response is useful. A request whose
+predicted first token comes after its caller's timeout is therefore refused on arrival,
+as not run and with a retry-after time, so that the caller can still go elsewhere.
 """
 
 import random
@@ -15,7 +14,7 @@
 from lycheepost.decide.settings import SchedulerSettings
 
 RATE_SECONDS = 5.0
-"""Time constant of the measured service rate: long enough to see some tens of
+"""Time constant of the measured service rate: long enough to average over some tens of
 requests, short enough to follow a crash within a few seconds."""
 
 MEASURE_SECONDS = 1.0
@@ -23,27 +22,27 @@
 MIN_PREDICTED_SECONDS = 0.1
 BIAS_GAIN = 0.05
 MAX_BIAS = 3.0
-"""A prediction that is off by more is mended at its source."""
+"""Larger errors are not corrected by the bias; they are faults of the prediction."""
 
 GIVE_UP_SLACK = 1.2
-"""A request that has waited this much more than its budget is refused at once:
-its place in the queue would go to one that comes too late, too."""
+"""A request is refused once it has waited this many times its budget: it would be
+served too late anyway."""
 
 MIN_RETRY_AFTER_SECONDS = 0.5
 MAX_RETRY_AFTER_SECONDS = 30.0
-"""A caller that is told to come back later than this goes away for good."""
+"""With a longer retry-after time callers do not come back at all."""
 
 JITTER = 0.5
-"""Refused callers return spread over half to one and a half times the wait;
-all at once they would be the next burst."""
+"""Spreads retries over 0.5 to 1.5 times the wait, so that refused callers do not
+return in one burst."""
 
 
 class ServiceRate:
-    """Engine seconds of work that are sent out per second, measured.
+    """Measures the engine seconds of work that are dispatched per second.
 
-    What leaves while the queue is never empty is the capacity. What leaves
-    otherwise is only a lower bound of it: a quiet night must not make the
-    morning's first burst look like overload.
+    While the queue is never empty, this is the capacity. Otherwise it is only a lower
+    bound and does not reduce the rate: after a period of low traffic the first burst
+    would look like overload.
     """
 
     def __init__(self, initial: float) -> None:
@@ -53,11 +52,11 @@
         self._was_empty = True
 
     def count(self, cost_seconds: float) -> None:
-        """Count work sent out."""
+        """Count dispatched work."""
         self._cost_seconds += cost_seconds
 
     def update(self, now_seconds: float, is_backlogged: bool) -> None:
-        """Note the queue's state; closes a measuring interval when due."""
+        """Record the queue's state; closes a measuring interval when due."""
         started_seconds = self._started_seconds
         if started_seconds is None:
             self._start(now_seconds)
@@ -98,15 +97,15 @@
 ) -> QueueWait:
     """Return how long a new request would wait in ``queue``.
 
-    A customer gets at least its weight's share of the rate, so it waits until
-    the queue's virtual time reaches its own at that share, or for the whole
-    queue at the full rate, whichever is less.
+    A customer gets at least its weight's share of the rate. It waits until the queue's
+    virtual time reaches its own at that share, or for the whole queue at the full
+    rate, whichever is less.
 
     Args:
         queue: The queue before the request.
         waiting: The request's entry.
         rate: Engine seconds served per second.
-        bias: Observed over predicted waits of late.
+        bias: Recent ratio of observed to predicted waits.
     """
     lane = queue.lane(waiting.work.customer)
     active = [item.weight for item in queue.lanes.values() if item.waiting]
@@ -120,13 +119,13 @@
 
 
 class WaitBias:
-    """Observed over predicted waits, so that predictions mend themselves."""
+    """Ratio of observed to predicted waits; corrects later predictions."""
 
     def __init__(self) -> None:
         self.value = 1.0
 
     def observe(self, waited_seconds: float, predicted_seconds: float) -> None:
-        """Learn from one request that left the queue."""
+        """Update the ratio with one request that left the queue."""
         if predicted_seconds < MIN_PREDICTED_SECONDS:
             return
         ratio = waited_seconds / (predicted_seconds / self.value)
@@ -135,7 +134,7 @@
 
 
 def budget_seconds(work: Work, settings: SchedulerSettings) -> float:
-    """Return the wait for the first token that ``work`` may be promised."""
+    """Return the longest predicted first-token wait at which ``work`` is admitted."""
     share = work.first_token_timeout_seconds * settings.admit_patience_share
     return min(share, settings.queue_seconds)
 
@@ -148,7 +147,7 @@
 
 
 def retry_after_seconds(wait_seconds: float, rng: random.Random) -> float:
-    """Return when to come back: after the present queue, with jitter."""
+    """Return the retry-after time: the current queue's wait, with jitter."""
     spread = 1.0 - JITTER + 2 * JITTER * rng.random()
     seconds = max(MIN_RETRY_AFTER_SECONDS, wait_seconds) * spread
     return min(MAX_RETRY_AFTER_SECONDS, seconds)
--- a/lycheepost/decide/backlog.py
+++ b/lycheepost/decide/backlog.py
@@ -1,21 +1,21 @@
-"""How much of the prompts that were sent to a target it still has to read.
+"""Estimates how many prompt tokens a target still has to prefill.
 
-The load: prompts of nine thousand tokens, each a sixth of a second of an engine's
-time. What was sent counts as waiting until its first token comes. Taken so, an engine
-that has all but read a prompt looks as full as one that has just begun, and the next
-prompt is sent only after the first token has come back and all daemons were told: the
-engine idles for a fifth of its time, and callers wait before it.
+If a whole prompt counted as waiting until its first token, an engine that has nearly
+finished a prompt would look as full as one that has just begun. With prompts of 9,000
+tokens (a sixth of a second of prefill) the next one would be sent only after the first
+token has come back and all peers were notified, and the engine would idle for a fifth
+of its time while requests wait.
 
-So what is left is reckoned from the speed at which the targets of the group have been
-seen to read. A first token still settles it; a part counts as left until then, as a
-target may be slower than the others.
+The remainder is therefore estimated from the group's measured prefill throughput. A
+first token ends the prompt's part of the backlog; until then a minimum share of it
+stays, as the target may be slower than the others.
 """
 
 from dataclasses import dataclass
 
 MIN_LEFT_SHARE = 0.25
-"""Part of what was sent that counts as left until its first token has come. A target
-that hangs is not sent more than four times what is to wait there."""
+"""Share of the sent tokens that counts as left until the first token. A target that
+hangs is thus sent at most four times the tokens that may wait there."""
 
 
 @dataclass(slots=True)
@@ -23,8 +23,8 @@
     """Prompt tokens sent to one target.
 
     Attributes:
-        sent_tokens: Of all prompts without a first token yet.
-        left_tokens: Those of them that were left to read at ``at_seconds``.
+        sent_tokens: Tokens of all prompts without a first token yet.
+        left_tokens: Those of them that were still to prefill at ``at_seconds``.
     """
 
     sent_tokens: float = 0.0
@@ -34,12 +34,12 @@
     def set_sent(
         self, sent_tokens: float, token_seconds: float, now_seconds: float
     ) -> None:
-        """Follow what was sent and has no first token.
+        """Update the tokens that were sent and have no first token.
 
         Args:
-            sent_tokens: The sum now.
-            token_seconds: Time that the target needs for one token.
-            now_seconds: The present time.
+            sent_tokens: Their current sum.
+            token_seconds: Prefill time of one token at the target.
+            now_seconds: The current time.
         """
         added_tokens = max(0.0, sent_tokens - self.sent_tokens)
         left_tokens = self._drained(token_seconds, now_seconds) + added_tokens
@@ -48,7 +48,7 @@
         self.at_seconds = now_seconds
 
     def left(self, token_seconds: float, now_seconds: float) -> float:
-        """Return the tokens that are left to read."""
+        """Return the tokens that are left to prefill."""
         drained = self._drained(token_seconds, now_seconds)
         return max(drained, MIN_LEFT_SHARE * self.sent_tokens)
 
@@ -59,4 +59,4 @@
 
 
 _MIN_TOKEN_SECONDS = 1e-6
-"""No engine reads a million prompt tokens a second."""
+"""Lower bound; no engine prefills a million tokens per second."""
--- a/lycheepost/decide/cacheestimate.py
+++ b/lycheepost/decide/cacheestimate.py
@@ -1,8 +1,8 @@
-"""What a daemon believes one target's prefix cache to hold.
+"""A daemon's estimate of the contents of one target's prefix cache.
 
-The belief only steers placement; a wrong one costs time and nothing else,
-because the engine itself decides what it reuses. It is fed by our own
-dispatches and by the target's cache events, which come late and with gaps.
+The estimate only guides placement. An error costs time but never correctness, because
+the engine itself decides what it reuses. It is updated by the daemon's own dispatches,
+by those of its peers, and by the target's cache events, which come late and with gaps.
 """
 
 from collections import OrderedDict
@@ -13,20 +13,20 @@
 from lycheepost.generated.engine import CacheEvent, CacheEventKind
 
 MAX_ENTRIES = 20_000
-"""Bounds memory per target: 1.6 billion blocks over 12,000 servers would be
-133,000 each; level boundaries are some tens of times fewer."""
+"""Bounds memory per target: 1.6 billion blocks over 12,000 servers are 133,000 each,
+and there are some tens of times fewer level boundaries than blocks."""
 
 
 RESTART_SEQUENCE = 0
-"""Number of the event that tells of a cache that restarted empty; real ones count
+"""Sequence number of the event for a cache that restarted empty; other events count
 from 1."""
 
 
 class CacheEstimate:
-    """Prefix levels believed to be cached by one incarnation of one target.
+    """Prefix levels estimated to be cached by one incarnation of one target.
 
     Args:
-        incarnation: Boot id; entries never outlive it.
+        incarnation: Boot id; entries are dropped when it changes.
         capacity_tokens: Size of the target's cache; 0 when unknown.
     """
 
@@ -51,10 +51,10 @@
         return len(self._entries)
 
     def cached_tokens(self, levels: Sequence[PrefixLevel]) -> int:
-        """Return the tokens of the longest prefix believed to be cached.
+        """Return the tokens of the longest prefix estimated to be cached.
 
-        Engines evict leaves first, so the deepest level found vouches for all
-        levels above it.
+        Engines evict leaves first, so all levels above the deepest one found are
+        cached, too.
         """
         entries = self._entries
         for level in reversed(levels):
@@ -63,14 +63,14 @@
         return 0
 
     def holds(self, digest: PrefixDigest) -> bool:
-        """Tell whether one part is believed to be cached, whatever else is."""
+        """Return whether one part is estimated to be cached, by itself."""
         return digest in self._entries
 
     def add(self, levels: Sequence[PrefixLevel]) -> None:
-        """Record that the target has, or is about to have, these levels.
+        """Record that the target caches, or is about to cache, these levels.
 
-        Deeper levels are touched first, so that a level is always more recent
-        than those below it and is evicted after them, as in the engine.
+        Deeper levels are touched first, so that a level is always more recent than
+        those below it and is evicted after them, as in the engine.
         """
         starts = [0, *(level.end_tokens for level in levels)]
         for level, start in zip(reversed(levels), reversed(starts[:-1]), strict=True):
@@ -95,7 +95,7 @@
         self._tokens -= n_tokens
 
     def _trim(self, digest: PrefixDigest, n_left: int) -> None:
-        """Note that an entry lost its end; less than half is as good as nothing."""
+        """Shorten an entry whose end was evicted; drops it below half its tokens."""
         n_tokens = self._entries.get(digest)
         if n_tokens is None:
             return
@@ -109,19 +109,19 @@
         self._tokens -= self._entries.pop(digest, 0)
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Remove all entries."""
         self._entries.clear()
         self._tokens = 0
 
     def follow(self, incarnation: Incarnation) -> bool:
-        """Take note of the incarnation that a message speaks for.
+        """Compare the incarnation of a message with the current one.
 
-        Late messages of a dead incarnation would fill the belief with blocks
-        that no longer exist. A new incarnation announces a restart that we
-        have not been told of.
+        A late message of an old incarnation is rejected: it would add blocks that no
+        longer exist. A new incarnation means a restart that was not yet reported, and
+        clears the entries.
 
         Returns:
-            Whether the message is of the present incarnation.
+            Whether the message is of the current incarnation.
         """
         if incarnation in self._retired:
             return False
@@ -145,8 +145,8 @@
 
     def _observe_one(self, event: CacheEvent) -> None:
         if event.sequence == RESTART_SEQUENCE:
-            # A cache that restarted empty counts its events from the beginning. Taken
-            # by its number, this event and all that follow would be old ones.
+            # A cache that restarted empty numbers its events from the beginning.
+            # Compared by number, this event and all later ones would look old.
             self.clear()
             self._sequence = None
             return
@@ -168,12 +168,12 @@
                 self.clear()
 
     def _invalidate(self, n_lost: int) -> None:
-        """Drop as many entries as lost events may have evicted.
+        """Drop as many entries as the lost events may have evicted.
 
-        A lost eviction shows as requests sent to a target that must recompute
-        all of their prefix. Engines evict the least recently used entry, so
-        the oldest ``n_lost`` entries are the ones at risk; lost additions only
-        make us miss a hit, which the next response mends.
+        After a lost eviction, requests are sent to a target that must recompute their
+        whole prefix. Engines evict the least recently used entry, so the oldest
+        ``n_lost`` entries are dropped. A lost addition only causes one missed hit,
+        which the next response corrects.
         """
         for _ in range(min(n_lost, len(self._entries))):
             self._drop_oldest()
--- a/lycheepost/decide/concurrency.py
+++ b/lycheepost/decide/concurrency.py
@@ -1,35 +1,35 @@
-"""How much of our work may wait inside one engine: adaptive, by delay.
-
-The failure: load reports are a second or two old, so daemons that trust them
-all see an idle engine and fill it together, then all see it full and stop. It
-shows as engines that swing between idle and seconds of queue. Each daemon
-therefore bounds its own waiting tokens per target by a window that follows the
-delay its own requests meet there, as delay-based congestion control does: it
-grows while first tokens come promptly, and shrinks when they do not.
+"""Delay-based window for this daemon's tokens that wait inside one engine.
+
+Load reports are a second or two old. Daemons that rely on them alone all see an idle
+engine and fill it together, then all see it full and stop, so that engines swing
+between idle and seconds of queue. Each daemon therefore bounds its own waiting tokens
+per target by a window that follows the queueing delay of its own requests, as in
+delay-based congestion control: it grows while first tokens come promptly and shrinks
+when they are late.
 """
 
 from dataclasses import dataclass
 
 MIN_TOKENS = 512
-"""One prefill chunk; less would leave the engine's iterations half empty."""
+"""One prefill chunk; with less the engine's iterations would be half empty."""
 
 MAX_TOKENS = 65_536
-"""Several seconds of prefill on one engine, whatever the delay says."""
+"""Several seconds of prefill on one engine; upper bound at any delay."""
 
 INITIAL_TOKENS = 8192
-"""Half a second of prefill: a restarted daemon neither floods an engine nor
-lets it idle while the window is still unknown."""
+"""Half a second of prefill: a restarted daemon neither overloads an engine nor lets it
+idle before the window has adapted."""
 
 GROWTH_TOKENS = 256
 SHRINK = 0.8
 SHRINK_SECONDS = 0.25
-"""Additive growth, multiplicative shrinking, one shrink per burst of late
-first tokens: windows of several daemons converge to equal parts."""
+"""Additive increase and multiplicative decrease, with one decrease per burst of late
+first tokens: the windows of several daemons converge to equal shares."""
 
 
 @dataclass(slots=True)
 class Window:
-    """Bound of our own prompt tokens that wait at one target."""
+    """Bound of this daemon's prompt tokens that wait at one target."""
 
     tokens: float = INITIAL_TOKENS
     shrunk_seconds: float = float("-inf")
@@ -41,13 +41,13 @@
         is_limiting: bool,
         now_seconds: float,
     ) -> None:
-        """Follow one request's delay in the engine's queue.
+        """Adapt the window to one request's delay in the engine's queue.
 
         Args:
-            delay_seconds: What it waited there beyond its own prefill.
-            target_seconds: Delay aimed at.
-            is_limiting: Whether the window was near full when it was sent.
-            now_seconds: The present time.
+            delay_seconds: Its wait there beyond its own prefill.
+            target_seconds: Intended delay.
+            is_limiting: Whether the window is nearly full.
+            now_seconds: The current time.
         """
         if delay_seconds <= target_seconds:
             if is_limiting:
--- a/lycheepost/decide/freshness.py
+++ b/lycheepost/decide/freshness.py
@@ -1,31 +1,30 @@
-"""Whether a key may still be trusted.
-
-The failure: a daemon that is cut off from the store goes on serving a key that
-was taken away, because it cannot hear of it. It shows as requests that run after
-the revocation should be in force everywhere. So a keyed request is served only
-while the configuration was confirmed as the newest within a bound. The bound is
-counted from before the confirming call was sent, by a clock that counts
-suspension: an answer that was long on its way, or a daemon that slept, makes the
-confirmation older, never younger.
+"""Decides whether a key may still be accepted, by the age of the configuration.
+
+A daemon that is cut off from the store does not learn of a revoked key, and would go on
+serving it after the revocation should be in force everywhere. A keyed request is
+therefore served only if the configuration was confirmed as the newest within a bound.
+The age is counted from before the confirming call was sent, by a clock that includes
+suspension: a slow response or a suspended daemon makes the confirmation older, never
+younger.
 """
 
 from dataclasses import dataclass
 
 WATCH_LAG_SECONDS = 1.0
-"""A watch on the store may hear nothing for a second while changes are made."""
+"""A watch on the store may receive changes up to one second late."""
 
 CHECK_SECONDS = 0.2
-"""From this check until the request's first byte reaches its target."""
+"""Time from this check until the request's first byte reaches its target."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyTrustRule:
-    """How long a key may be trusted without confirmation.
+    """How long a key may be accepted without confirmation.
 
     Attributes:
-        revoke_seconds: After its removal was acknowledged, a key must not be
-            served for longer than this.
-        is_strict: Whether the bound holds for daemons that are cut off, too.
+        revoke_seconds: Longest time that a key may still be served after its removal
+            was acknowledged.
+        is_strict: Whether the bound also holds for daemons that are cut off.
     """
 
     revoke_seconds: float
@@ -33,21 +32,21 @@
 
     @property
     def trusted_seconds(self) -> float:
-        """Return the greatest age of a confirmation that keys may rest on."""
+        """Return the maximum age of a confirmation for accepting keys."""
         return max(0.0, self.revoke_seconds - WATCH_LAG_SECONDS - CHECK_SECONDS)
 
 
 MAX_LONG_POLL_SECONDS = 1.8
-"""Longest time that a question to the store is held. A connection that went silent
-is noticed after about this time, and leaving targets must be known sooner."""
+"""Longest time that the store holds a poll open. A silent connection is detected after
+about this time, and leaving targets must be known soon."""
 
 LONG_POLL_SHARE = 0.4
-"""Part of the trusted time that a question is held. The answer confirms what was
-true when the question was sent, so keys rest on confirmations up to twice as old."""
+"""Share of the trusted time that a poll is held open. The response confirms the state
+at the time the poll was sent, so confirmations in use are up to twice as old."""
 
 
 def long_poll_seconds(rule: KeyTrustRule) -> float:
-    """Return how long a question to the store may be held."""
+    """Return how long the store may hold a poll open."""
     return min(MAX_LONG_POLL_SECONDS, LONG_POLL_SHARE * rule.trusted_seconds)
 
 
@@ -60,7 +59,7 @@
         rule: The bound in force.
         confirmed_seconds: When the configuration was last known to be the newest;
             None when it never was.
-        now_seconds: The present time, by a clock that counts suspension.
+        now_seconds: The current time, by a clock that includes suspension.
     """
     if confirmed_seconds is None:
         return False
--- a/lycheepost/decide/group.py
+++ b/lycheepost/decide/group.py
@@ -1,4 +1,4 @@
-"""The decisions within one target group: its queue, its targets, its rates."""
+"""Scheduling within one target group: its queue, its targets and their rates."""
 
 import math
 import random
@@ -38,50 +38,50 @@
 from lycheepost.decide.throttling import TargetThrottle
 
 SCANNED_REQUESTS = 8
-"""Requests looked at when a slot frees up: enough to pass those that wait for
-a full target, few enough to bound the cost of a decision under saturation."""
+"""Requests examined when a slot becomes free: enough to pass those that wait for a full
+target, few enough to bound the cost of a decision under saturation."""
 
 MIN_COST_SECONDS = 0.01
-"""Cost of a request without tokens, as plain services have them: at no cost, a
-customer that floods a service would never be over its share."""
+"""Cost of a request without tokens, as for plain services. At zero cost a customer that
+floods a service would never exceed its share."""
 
 PRESSURE_GAIN = 0.01
-"""Per tick of 20 ms: the pressure follows the queue within about 2 s, longer
-than a short burst that the engines absorb, shorter than callers' patience."""
+"""Per tick of 20 ms: the pressure follows the queue within about 2 s, which is longer
+than a burst that the engines absorb and shorter than callers' timeouts."""
 
 PRESSURE_FULL_SHARE = 0.25
-"""Share of targets without room from which a waiting request speaks of the
-whole fleet. The owners of a hot prefix alone are fewer; taken for pressure, their
-queue would make every copy elsewhere too dear, and the prefix never gain owners."""
+"""Share of full targets from which a waiting request counts as pressure on the whole
+group. The owners of one hot prefix are fewer. If their queue counted as pressure,
+placing the prefix elsewhere would be too expensive and it would never gain owners."""
 
 COLD_DISCOUNT = 1.0
-"""Under pressure a prompt whose shared prefix is cached nowhere gets less of
-the queue. What is admitted then is whole batches while they are warm; without
-it parts of every batch are served, each prefix is evicted between two of its
-requests, and the engines spend their time on recomputing. When too few new
-batches come in, the queue runs empty and the pressure falls."""
+"""How far pressure shortens the queue wait of a prompt whose shared prefix is not
+cached. Batches are then served as a whole while their prefix is cached. Otherwise parts
+of every batch are served, each prefix is evicted between two of its requests, and the
+engines spend their time recomputing. When too few new batches are admitted, the queue
+runs empty and the pressure falls."""
 
 COLD_LEAD = -4.0
-"""Mean costs by which a customer must be behind the fair order for its new
-batches to be taken under pressure; so each customer's turn comes."""
+"""Lead over the fair order, in mean request costs, below which a customer's new batches
+are admitted under pressure, so that every customer is served eventually."""
 
 ENGINE_WAIT_SHARE = 0.05
-"""Share of the patience that work may wait inside an engine. What waits there
-can no longer be ordered fairly nor refused early; an engine in which nothing
-waits idles between our dispatches."""
+"""Share of the first-token timeout that work may wait inside an engine. Work that waits
+there can no longer be ordered fairly or refused early, but an engine without waiting
+work idles between dispatches."""
 
 CROWDED_SHARE = 0.5
-"""Share of targets without room from which the fleet counts as crowded. Below
-it the queue waits for a few targets, such as the owners of a hot prefix, and
-refusing new work for that would leave the others idle."""
+"""Share of full targets from which the group counts as crowded. Below it the queue
+waits for a few targets, such as the owners of a hot prefix, and refusing new work would
+leave the others idle."""
 
 MAX_UNPUBLISHED_PROMPTS = 1_000
-"""Prompts that peers were not told of yet; some thirty seconds of a daemon's traffic,
-where nobody asks for them."""
+"""Limit of dispatched prompts that are not yet published to peers: about thirty seconds
+of a daemon's traffic, in case nothing collects them."""
 
 INSIDE_TIMEOUT_SHARE = 0.7
-"""A customer inside its share is refused only when the engines themselves are
-too slow for it; the rest covers the error of that prediction."""
+"""Share of its first-token timeout that a customer inside its fair share may wait: it is
+refused only if the engines are too slow. The rest covers prediction errors."""
 
 
 def _is_warm(work: Work, choice: Choice) -> bool:
@@ -122,12 +122,12 @@
         return len(self.queue) + len(self.late)
 
     def set_weights(self, weights: dict[CustomerId, float]) -> None:
-        """Set each customer's weight in fair sharing."""
+        """Set each customer's weight in fair queueing."""
         self.queue.set_weights(weights)
         self.shares.set_weights(weights)
 
     def remove_target(self, target: TargetId) -> None:
-        """Forget a target that is no longer configured."""
+        """Remove a target that is no longer configured."""
         self.placement.loads.pop(target, None)
         self.throttle.forget(target)
 
@@ -137,10 +137,10 @@
         return max(MIN_COST_SECONDS, prefill + decode)
 
     def _usual_cost_seconds(self, work: Work) -> float:
-        """Return the cost with as much cached as is usual.
+        """Return the cost at the group's average cache hit rate.
 
-        A refused prefix never gets cached; by its actual cost its customer
-        would seem to ask for ever more, and be refused for that.
+        A refused prefix is never cached. Measured by actual cost, its customer's demand
+        would seem to grow, and more of it would be refused for that.
         """
         uncached_share = self.placement.rates.uncached_share
         return self._cost_seconds(work, int(work.prompt_tokens * uncached_share))
@@ -158,7 +158,7 @@
         return self._queue_up(work, choice, cost, now_seconds)
 
     def has_capacity_for(self, work: Work, now_seconds: float) -> bool:
-        """Tell whether a target that has not failed ``work`` could take it now."""
+        """Return whether a target that has not failed ``work`` has capacity for it."""
         choice = self._choose(work, now_seconds, self._awaited)
         return choice is not None and choice.can_take
 
@@ -182,7 +182,7 @@
         return self.dispatch_waiting(now_seconds)
 
     def _latest_dispatch_seconds(self, work: Work, choice: Choice) -> float:
-        """Return by when work must be sent out to meet its objective."""
+        """Return until when work must be dispatched to meet its objective."""
         if Mechanism.LATE_LAST in self._settings.switched_off:
             return math.inf
         rates = self.placement.rates
@@ -198,16 +198,16 @@
                 self.late.add(waiting)
 
     def _has_waited_long(self, waiting: QueuedRequest, now_seconds: float) -> bool:
-        """Tell whether a customer inside its share has waited half its time.
+        """Return whether a customer inside its share has waited half its time.
 
-        It waits for the owner of its prefix, which others keep full. They are
-        over their share and it is not, so it need not spare the fleet.
+        It waits for the owner of its prefix, which customers over their share keep
+        full. The price of recomputation under pressure then no longer applies to it.
         """
         halfway = (waiting.enqueued_seconds + waiting.give_up_seconds) / 2
         return now_seconds > halfway and self.shares.is_inside(waiting.work.customer)
 
     def _set_awaited_target(self, waiting: QueuedRequest, choice: Choice) -> None:
-        """Note for which target a request waits."""
+        """Record the target that a request waits for."""
         self._clear_awaited_target(waiting)
         waiting.awaited_target = (choice.load.view.target, choice.uncached_tokens)
         self._awaited.add(*waiting.awaited_target)
@@ -228,7 +228,8 @@
     def _budget_seconds(self, work: Work, choice: Choice, now_seconds: float) -> float:
         """Return how long from now ``work`` may wait for its first token."""
         if work.excluded:
-            # A target failed it, not the load: it has its caller's whole time.
+            # It is retried because a target failed, not because of load, so it may
+            # use the rest of its caller's timeout.
             elapsed = now_seconds - work.arrived_seconds
             return max(0.0, work.first_token_timeout_seconds - elapsed) / GIVE_UP_SLACK
         if self.shares.is_inside(work.customer):
@@ -258,7 +259,7 @@
         wait: QueueWait,
         throttled_seconds: float = 0.0,
     ) -> Refuse:
-        """Refuse with the time after which the queue, and the targets, let it pass."""
+        """Refuse, to be retried once the queue and the targets' throttling allow it."""
         seconds = retry_after_seconds(wait.seconds, self._rng) + throttled_seconds
         seconds = min(MAX_RETRY_AFTER_SECONDS, seconds)
         return Refuse(work.request, reason, seconds)
@@ -303,10 +304,10 @@
         return Dispatch(work.request, target, choice.wait_seconds, choice.cached_tokens)
 
     def note_placed(self, placed: Placed) -> None:
-        """Believe that a target caches what a peer has sent to it.
+        """Record that a target caches a prompt that a peer has sent to it.
 
-        Without it each daemon would take a prompt for cached only where it has sent
-        one with the same parts itself, and ten daemons would have ten owners read it.
+        Otherwise each daemon would assume that a prompt is cached only where it has
+        sent the same parts itself, and ten daemons would have ten targets prefill it.
         """
         load = self.placement.loads.get(placed.target)
         if load is not None:
@@ -314,11 +315,11 @@
             self.placement.note_holder(placed.levels, placed.target)
 
     def draw_admission(self, n_peers: int, now_seconds: float) -> None:
-        """Draw a part of the room at the targets, where peers wait for it too.
+        """Draw a share of the targets' free slots if peers have waiting requests, too.
 
         Args:
-            n_peers: Other daemons with requests waiting for this group.
-            now_seconds: The present time.
+            n_peers: Peers with requests waiting for this group.
+            now_seconds: The current time.
         """
         is_off = Mechanism.RANDOM_ADMISSION in self._settings.switched_off
         if is_off or not self.n_waiting:
@@ -330,7 +331,7 @@
         self.admission.draw(free_slots, 1 + n_peers)
 
     def dispatch_waiting(self, now_seconds: float) -> list[Outcome]:
-        """Send out what waits and now has room."""
+        """Dispatch the waiting requests for which a target has capacity."""
         outcomes: list[Outcome] = []
         if not self.n_waiting or not self.placement.has_capacity(now_seconds):
             return outcomes
@@ -349,7 +350,7 @@
     def _dispatch_late(
         self, n_scanned: int, now_seconds: float, waiting_ahead: WaitingByTarget
     ) -> list[Outcome]:
-        """Send out late requests that have room."""
+        """Dispatch the late requests for which a target has capacity."""
         outcomes: list[Outcome] = []
         for waiting in self.late.first(n_scanned):
             outcome = self._try_waiting(waiting, now_seconds, waiting_ahead)
@@ -385,7 +386,7 @@
     def first_token(
         self, request: RequestId, now_seconds: float, cached_tokens: int | None
     ) -> None:
-        """Learn from a first token."""
+        """Update rates and load with a first token."""
         target = self._running.get(request)
         load = self.placement.loads.get(target) if target is not None else None
         entry = load.in_flight.get(request) if load is not None else None
@@ -395,7 +396,7 @@
         load.first_token(entry, now_seconds)
 
     def note_usage(self, prompt_tokens: int, cached_tokens: int) -> None:
-        """Learn what share of prompts engines compute, told with an answer's end."""
+        """Update the uncached share with the usage reported at a response's end."""
         uncached = max(0, prompt_tokens - cached_tokens)
         self.placement.rates.observe_uncached(uncached, prompt_tokens)
 
@@ -425,7 +426,7 @@
     def finish(
         self, request: RequestId, now_seconds: float, kind: FinishKind
     ) -> InFlight | None:
-        """Note the end of a request and return how it was in flight."""
+        """Record the end of a request and return its in-flight entry."""
         target = self._running.pop(request, None)
         load = self.placement.loads.get(target) if target is not None else None
         entry = load.end(request, now_seconds) if load is not None else None
@@ -439,7 +440,7 @@
         return entry
 
     def tick(self, now_seconds: float) -> list[Outcome]:
-        """Refuse what cannot be served any more; send out what has room."""
+        """Refuse requests whose time has run out, and dispatch others."""
         self.throttle.renew_unused(now_seconds)
         self._rate.update(now_seconds, self.n_waiting > 0)
         self._usual_rate.update(now_seconds, self.n_waiting > 0)
@@ -459,13 +460,13 @@
         return outcomes
 
     def _is_under_pressure(self, now_seconds: float) -> bool:
-        """Tell whether work waits because the fleet, not one target, is full."""
+        """Return whether work waits because the group, not one target, is full."""
         if not self.n_waiting:
             return False
         return self.placement.full_share(now_seconds) >= PRESSURE_FULL_SHARE
 
     def refuse_all(self, reason: RefusalReason) -> list[Outcome]:
-        """Refuse everything that waits."""
+        """Refuse all waiting requests."""
         outcomes: list[Outcome] = []
         for waiting in [*self.queue.all(), *self.late]:
             self.remove(waiting.work.request)
@@ -473,7 +474,7 @@
         return outcomes
 
     def status(self, now_seconds: float) -> dict[str, object]:
-        """Return the queue and the targets in short."""
+        """Return a summary of the queue and the targets."""
         return {
             "n_waiting": self.n_waiting,
             "n_late": len(self.late),
--- a/lycheepost/decide/hotprefixes.py
+++ b/lycheepost/decide/hotprefixes.py
@@ -1,10 +1,10 @@
-"""The prefixes that most requests share, as one daemon sees them.
+"""Counts the prefixes that most requests of one daemon share.
 
-A target that comes up is given the kept blocks of these before it takes traffic.
-Counts are kept for a bounded number of prefixes (the space-saving algorithm: a
-new one takes over the place and the count of the rarest), so that memory does
-not grow with the prefixes of 990 customers, and halve now and then, so that
-what was hot yesterday gives way.
+A starting target is warmed with the stored blocks of these before it takes traffic.
+Only a bounded number of prefixes is counted, by the space-saving algorithm: a new
+prefix replaces the rarest one and takes over its count. Memory so does not grow with
+the prefixes of 990 customers. Counts are halved periodically, so that prefixes that are
+no longer hot are replaced.
 """
 
 from dataclasses import dataclass
@@ -13,10 +13,10 @@
 from lycheepost.decide.records import PrefixLevel
 
 KEPT_PREFIXES = 512
-"""About 100 KB. A target is warmed with a few dozen; the rest keeps the counts of
-those honest."""
+"""About 100 KB. A target is warmed with a few dozen; the others keep the counts of
+those accurate."""
 _HALVE_AFTER = 20_000
-"""Requests: at 100 a second, a little over three minutes."""
+"""Requests; a little over three minutes at 100 per second."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
     """One shared prefix.
 
     Attributes:
-        cache_salt: Separates the customer's blocks on engines.
+        cache_salt: Separates customers' blocks on engines.
     """
 
     model: ModelId
@@ -34,7 +34,7 @@
 
 
 class HotPrefixes:
-    """Counts shared prefixes; the last level of a prompt is its own text."""
+    """Counts shared prefixes; the last level of a prompt is not shared."""
 
     def __init__(self) -> None:
         self._counts: dict[HotPrefix, int] = {}
@@ -47,7 +47,7 @@
         cache_salt: str,
         levels: tuple[PrefixLevel, ...],
     ) -> None:
-        """Count the levels of one request but its last."""
+        """Count all levels of one request but the last."""
         for level in levels[:-1]:
             prefix = HotPrefix(model, weights_version, cache_salt, level.digest)
             self._count(prefix)
@@ -58,7 +58,7 @@
     def top(
         self, model: ModelId, weights_version: WeightsVersion, n: int
     ) -> list[HotPrefix]:
-        """Return the hottest prefixes of one version, the hottest first."""
+        """Return the hottest prefixes of one weights version, the hottest first."""
         counted = [
             (count, prefix)
             for prefix, count in self._counts.items()
--- a/lycheepost/decide/kvstorecontents.py
+++ b/lycheepost/decide/kvstorecontents.py
@@ -1,15 +1,15 @@
-"""Which prompts' KV cache goes to a store of kept KV cache.
-
-The load: every prompt begins with long parts that many others share, and ends with
-text of its own. An engine that is told to send a prompt to the store sends all of it.
-If each is sent, most of what the store is sent is text that never comes again: it
-drives the shared parts out, and it keeps the store's one link so busy that fetches of
-shared parts are not even started. The engines then read the same parts again and
-again, which takes some hundred times as long as to fetch them.
-
-So a prompt is sent only while the store is not believed to keep all of its shared
-parts. What is believed comes from the store's own events, so that the daemons need not
-tell each other.
+"""Decides which prompts' KV cache engines write to a KV store.
+
+Prompts begin with long parts that many others share, and end with unique text. An
+engine that is told to write a prompt to the store writes all of it. If every prompt
+were written, most of the written text would never be read: it evicts the shared parts,
+and keeps the store's link so busy that fetches of shared parts are not even started.
+Engines then recompute the same parts, which takes about a hundred times as long as
+fetching them.
+
+A prompt is therefore written only while the store is not known to hold all of its
+shared parts. This is tracked by the store's own events, so that daemons need not notify
+each other.
 """
 
 from collections import OrderedDict
@@ -22,19 +22,19 @@
 from lycheepost.generated.engine import CacheEvent
 
 SEND_GRACE_SECONDS = 1.0
-"""After a prompt was sent to a store its parts count as kept for so long without the
-store's word: an engine sends them once it has read them, and the store's events are
-asked for twice a second."""
+"""How long the parts of a sent prompt count as stored without an event of the store:
+the engine writes them after prefill, and the store's events are polled twice a
+second."""
 
 MAX_RECENT_SENDS = 10_000
-"""Parts that were sent of late; bounds memory to some two megabytes."""
+"""Parts sent recently; bounds memory to about two megabytes."""
 
 _UNKNOWN_SIZE = 0
-"""A store tells what it drops; it is not guessed here from its size."""
+"""A store reports its evictions; they are not estimated from its size."""
 
 
 class KvStoreContents:
-    """What the stores are believed to keep, and what was sent to them of late.
+    """Estimated contents of the KV stores, and what was sent to them recently.
 
     Args:
         switched_off: Mechanisms that are not used.
@@ -49,37 +49,37 @@
     def observe(
         self, store: str, incarnation: Incarnation, events: Sequence[CacheEvent]
     ) -> None:
-        """Take in a store's events.
+        """Apply a store's events.
 
         Args:
             store: Its address.
-            incarnation: Which start of it tells them.
+            incarnation: The incarnation that reports them.
             events: In order; some may be missing.
         """
-        cache_estimate = self._stores.get(store)
-        if cache_estimate is None:
-            cache_estimate = CacheEstimate(incarnation, _UNKNOWN_SIZE)
-            self._stores[store] = cache_estimate
-        cache_estimate.observe(incarnation, events)
+        contents = self._stores.get(store)
+        if contents is None:
+            contents = CacheEstimate(incarnation, _UNKNOWN_SIZE)
+            self._stores[store] = contents
+        contents.observe(incarnation, events)
 
     def keep_only(self, stores: Sequence[str]) -> None:
-        """Forget all stores but these."""
+        """Remove all stores but these."""
         for store in set(self._stores) - set(stores):
             del self._stores[store]
 
     def kept_tokens(self, store: str, levels: Sequence[PrefixLevel]) -> int:
-        """Return the tokens of the longest beginning that a store keeps.
+        """Return the tokens of the longest prefix that a store holds.
 
         Args:
             store: The store's address.
             levels: The prompt's levels, outermost first.
         """
-        cache_estimate = self._stores.get(store)
-        if cache_estimate is None or not self._counts_fetches:
+        contents = self._stores.get(store)
+        if contents is None or not self._counts_fetches:
             return 0
         n_tokens = 0
         for level in levels:
-            if not cache_estimate.holds(level.digest):
+            if not contents.holds(level.digest):
                 break
             n_tokens = level.end_tokens
         return n_tokens
@@ -91,8 +91,8 @@
 
         Args:
             store: The store's address.
-            levels: The prompt's levels; the last one is the request's own.
-            now_seconds: The present time.
+            levels: The prompt's levels; the last one is not shared.
+            now_seconds: The current time.
         """
         if self._sends_all:
             return True
@@ -109,8 +109,8 @@
         return True
 
     def _is_kept(self, store: str, digest: PrefixDigest, now_seconds: float) -> bool:
-        cache_estimate = self._stores.get(store)
-        if cache_estimate is not None and cache_estimate.holds(digest):
+        contents = self._stores.get(store)
+        if contents is not None and contents.holds(digest):
             return True
         sent_seconds = self._recent_sends.get((store, digest))
         return (
--- a/lycheepost/decide/latework.py
+++ b/lycheepost/decide/latework.py
@@ -1,12 +1,12 @@
-"""Requests that wait although their objective can no longer be met.
+"""Waiting requests whose latency objective can no longer be met.
 
-The load: targets are lost or change at the peak, and for seconds more is asked than the
-rest can do. In the order of arrival everybody waits for the whole backlog, so that each
-answer is late by as much, although nearly as many callers are served as ever. An answer
-is late at one second or at three; only one that can still be on time gains by going
-first. So those whose objective has passed get a lower priority: the room that others
-leave, and a fixed part of it besides, so that a long overload does not starve them.
-Among themselves the one whose caller leaves first goes first.
+When targets are lost or change weights at peak load, demand exceeds capacity for some
+seconds. Served in order of arrival, every request waits for the whole backlog, and
+nearly all responses miss their objective although almost as many are served. A response
+that misses its objective gains nothing by coming a little earlier, so requests whose
+objective has passed get a lower priority: the capacity that others leave, and a fixed
+share besides, so that a long overload does not starve them. Among themselves they go in
+the order of their callers' timeouts.
 
 Pure logic.
 """
@@ -18,13 +18,13 @@
 from lycheepost.decide.queueing import QueuedRequest
 
 LATE_SHARE = 0.2
-"""Part of the work that late requests get while others could still be on time. Each of
-them costs one of the others its objective, and is worth less than half as much to its
-caller; with nothing at all their callers would be served by chance only."""
+"""Share of the work that late requests get while others can still be on time. Each late
+request makes one of the others miss its objective, and is worth less than half as much
+to its caller; with no share at all late requests would be served by chance only."""
 
 
 class LateWork:
-    """Late requests of one target group, and the share of the work that is theirs."""
+    """Late requests of one target group, and their share of the work."""
 
     def __init__(self) -> None:
         self._waiting: list[QueuedRequest] = []
@@ -48,22 +48,22 @@
         return None
 
     def first(self, limit: int) -> tuple[QueuedRequest, ...]:
-        """Return up to ``limit`` requests, the one whose caller leaves first first."""
+        """Return up to ``limit`` requests in the order of their callers' timeouts."""
         return tuple(self._waiting[:limit])
 
     def is_due(self) -> bool:
-        """Tell whether the share of late requests is enough for the first of them."""
+        """Return whether the share of late requests covers the first of them."""
         if not self._waiting:
             return False
         return self._credit_seconds >= self._waiting[0].cost_seconds
 
     def count_other(self, cost_seconds: float) -> None:
-        """Count work that went out before the late requests."""
+        """Count work that was dispatched before the late requests."""
         if self._waiting:
             self._credit_seconds += LATE_SHARE * cost_seconds
 
     def count_late(self, cost_seconds: float) -> None:
-        """Count work of a late request that went out."""
+        """Count dispatched work of a late request."""
         self._credit_seconds = max(0.0, self._credit_seconds - cost_seconds)
 
 
--- a/lycheepost/decide/levels.py
+++ b/lycheepost/decide/levels.py
@@ -1,10 +1,9 @@
 """Fingerprints of the nested levels of a prompt, without a tokenizer.
 
-A level ends at every message boundary and at growing offsets inside a long
-message, so that prompts that share only the first part of a long message still
-share levels. Digests are chained from the customer, the model and the weights
-version: equal digests mean equal prefixes of the same customer under the same
-weights, and never anything else.
+A level ends at every message boundary and at growing offsets inside a long message, so
+that prompts that share only the first part of a long message still share levels.
+Digests are chained from the customer, the model and the weights version: equal digests
+mean equal prefixes of the same customer under the same weights.
 """
 
 from collections.abc import Iterator, Sequence
@@ -14,14 +13,14 @@
 from lycheepost.decide.records import PrefixLevel
 
 BYTES_PER_TOKEN = 4
-"""Average of English text under the usual byte-pair vocabularies."""
+"""Average for English text with common byte-pair vocabularies."""
 
 FIRST_SPLIT_BYTES = 4096
 """A shorter message is one level: about 1,000 tokens, 50 ms of prefill."""
 
 SPLIT_GROWTH = 2
-"""Each further split lies twice as far in, so levels grow with the logarithm
-of the length and a letter of 100 pages still costs a handful of digests."""
+"""Each further split lies twice as far in: the number of levels grows with the
+logarithm of the length, and a text of 100 pages costs only a few digests."""
 
 MAX_LEVELS = 24
 """Bounds the work per request and the length of the header to the engine."""
@@ -51,15 +50,15 @@
     """Return the prefix levels of one prompt, outermost first.
 
     Args:
-        customer: Whose prompt it is.
-        model: The model asked for.
+        customer: The customer that sent the prompt.
+        model: The requested model.
         weights_version: The weights that will serve it.
-        segments: The messages of the prompt in order, each serialised with its
-            role; empty ones are skipped.
+        segments: The messages of the prompt in order, each serialized with its role;
+            empty ones are skipped.
 
     Returns:
-        At most ``MAX_LEVELS`` levels with rising ``end_tokens``. When there
-        are more boundaries, the last level covers the rest of the prompt.
+        At most ``MAX_LEVELS`` levels with rising ``end_tokens``. When there are more
+        boundaries, the last level covers the rest of the prompt.
     """
     root = "\x00".join((customer, model, weights_version)).encode()
     digest = PrefixDigest(hash_bytes(root))
@@ -69,8 +68,8 @@
     n_bytes = 0
     levels = []
     for piece in pieces:
-        # The length goes into the chain, so that moving a boundary between two
-        # messages cannot give two different prompts the same digest.
+        # The length is part of the chain: otherwise two prompts that differ only in
+        # the boundary between two messages would have the same digest.
         digest = chain_digest(digest, len(piece).to_bytes(8, "little") + piece)
         n_bytes += len(piece)
         levels.append(PrefixLevel(digest, estimate_tokens(n_bytes)))
--- a/lycheepost/decide/load.py
+++ b/lycheepost/decide/load.py
@@ -1,9 +1,9 @@
-"""What we know of one target: its view, our work on it, its lagging reports.
+"""Load of one target: its view, this daemon's requests on it, and its load reports.
 
-A load report is up to a few seconds old and counts our own requests too. Used
-as it stands, every daemon would send its work to the same target that looked
-idle a second ago. So our own share at the time of the measurement is taken out
-of the report, and what is in flight from here now is added.
+A load report is up to a few seconds old and includes this daemon's own requests. Used
+unchanged, it would make every daemon send its work to the target that looked idle a
+second ago. So the daemon's own share at the time of the measurement is subtracted from
+the report, and its current in-flight requests are added.
 """
 
 from collections import deque
@@ -23,21 +23,22 @@
 
 SHARED_WINDOW_TOKENS = 4_500
 """Prompt tokens of all daemons together that may wait at one target. They keep its
-engine busy for some 0.1 s, until more can arrive; what waits beyond that waits here,
-where it can still be ordered, sent where its prefix is, or refused in time."""
+engine busy for about 0.1 s, until more can arrive. Further work waits in the daemon,
+where it can still be reordered, sent to the target that caches its prefix, or refused
+in time."""
 
 REPORT_SECONDS = 10.0
-"""A report older than this says nothing about now."""
+"""Older reports are ignored."""
 
 
 @dataclass(slots=True)
 class InFlight:
-    """One request dispatched from here.
+    """One request dispatched by this daemon.
 
     Attributes:
-        uncached_tokens: Prompt tokens believed to need prefill.
+        uncached_tokens: Prompt tokens estimated to need prefill.
         cost_seconds: Engine time charged to the customer.
-        ahead_tokens: Uncached tokens that waited there before it.
+        ahead_tokens: Uncached tokens that waited at the target when it was sent.
     """
 
     work: Work
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True)
 class OwnLoad:
-    """Our own load on a target at one time."""
+    """This daemon's load on a target at one time."""
 
     at_seconds: float
     queued_prompt_tokens: int
@@ -61,20 +62,20 @@
 
 @dataclass(slots=True)
 class TargetLoad:
-    """Everything the decisions hold about one target.
+    """The scheduler's state of one target.
 
     Attributes:
-        rates: Measured speeds of its group.
-        backlog: What it has to read of all that was sent to it.
-        queued_tokens: Our own uncached tokens without a first token yet.
-        queued_prompt_tokens: The whole prompts of the same requests, which is
-            what engines report, as they look into the cache only later.
-        peers_tokens: Uncached tokens of other daemons that wait there.
-        peers_running: Requests of other daemons that run there.
-        slowness: Observed over predicted first-token time, smoothed.
-        is_shared: The other daemons tell what they have there.
-        rate_limiter: When this daemon may send to it; None while it names no limit.
-        backoff_until_seconds: It wants no request from this daemon until then.
+        rates: Measured rates of its group.
+        backlog: Tokens that it still has to prefill, of all daemons' requests.
+        queued_tokens: This daemon's uncached tokens without a first token yet.
+        queued_prompt_tokens: Whole prompts of the same requests. Engines report these,
+            as they look up the cache only later.
+        peers_tokens: Uncached tokens of peers that wait there.
+        peers_running: Requests of peers that run there.
+        slowness: Smoothed ratio of observed to predicted first-token time.
+        is_shared: Whether peers report their load there.
+        rate_limiter: Its rate limit for this daemon; None while it names none.
+        backoff_until_seconds: End of the back-off that it asked this daemon for.
     """
 
     view: TargetView
@@ -95,7 +96,7 @@
     history: deque[OwnLoad] = field(default_factory=deque)
 
     def replace_view(self, view: TargetView) -> None:
-        """Follow a change; what an older incarnation or weights cached is gone."""
+        """Update the view; a new incarnation or weights version has an empty cache."""
         if view.incarnation != self.view.incarnation:
             self.cache_estimate.follow(view.incarnation)
             self.peers_tokens = 0.0
@@ -150,7 +151,7 @@
         return self.rates.token_seconds * self.slowness.now(now_seconds)
 
     def _known_peer_load(self, now_seconds: float) -> tuple[float, float]:
-        """Return tokens and requests of other daemons; an old word says nothing."""
+        """Return the peers' tokens and requests there; zero if the report is old."""
         if now_seconds - self.reported_seconds > REPORT_SECONDS:
             return 0.0, 0.0
         return self.peers_tokens, self.peers_running
@@ -158,7 +159,7 @@
     def _remember(self, now_seconds: float) -> None:
         own = OwnLoad(now_seconds, self.queued_prompt_tokens, len(self.in_flight))
         self.history.append(own)
-        # The newest entry before the horizon stays: it was true until the next.
+        # Keep the newest entry before the horizon: it is valid until the next one.
         horizon = now_seconds - HISTORY_SECONDS
         while len(self.history) > 1 and self.history[1].at_seconds < horizon:
             self.history.popleft()
@@ -170,11 +171,11 @@
         return OwnLoad(at_seconds, 0, 0)
 
     def observe(self, report: LoadReport, uncached_share: float) -> None:
-        """Take in a report; one that is older than the last is ignored.
+        """Apply a load report; reports older than the last one are ignored.
 
         Args:
-            report: What the target measured.
-            uncached_share: Share of waiting prompts that needs computing.
+            report: The target's measurement.
+            uncached_share: Share of waiting prompt tokens that needs prefill.
         """
         if report.measured_seconds <= self.reported_seconds:
             return
@@ -186,14 +187,14 @@
         others_prompts = report.queued_prompt_tokens - own.queued_prompt_tokens
         peers_tokens = max(0, others_prompts) * uncached_share
         peers_running = max(0, n_requests - own.n_running)
-        # The mean of two reports: one alone may have caught a burst that is
-        # long gone when it arrives.
+        # Average two reports: one alone may contain a burst that has ended by the
+        # time it arrives.
         self.peers_tokens = (self.peers_tokens + peers_tokens) / 2
         self.peers_running = (self.peers_running + peers_running) / 2
         self._follow_sent(report.measured_seconds)
 
     def set_peer_load(self, tokens: int, n_running: int, now_seconds: float) -> None:
-        """Take what the other daemons told that they have here."""
+        """Set the load that peers report at this target."""
         self.peers_tokens = float(tokens)
         self.peers_running = float(n_running)
         self.reported_seconds = now_seconds
@@ -201,23 +202,23 @@
         self._follow_sent(now_seconds)
 
     def estimate(self, now_seconds: float) -> tuple[float, float]:
-        """Return the tokens without a first token yet there, and the requests there."""
+        """Return the tokens without a first token, and the requests, of all daemons."""
         peers_tokens, peers_running = self._known_peer_load(now_seconds)
         n_running = len(self.in_flight) + peers_running
         return self.queued_tokens + peers_tokens, n_running
 
     def has_capacity(self, n_running: float, now_seconds: float) -> bool:
-        """Tell whether it may take one more beside ``n_running``."""
+        """Return whether it may take one more request besides ``n_running``."""
         if self.is_throttled(now_seconds) or n_running >= self.limit():
             return False
         if self.is_shared:
             token_seconds = self._token_seconds(now_seconds)
             return self.backlog.left(token_seconds, now_seconds) < SHARED_WINDOW_TOKENS
-        # One request may always go: windows are narrower than long prompts.
+        # One request is always allowed: a long prompt may exceed the window.
         return not self.queued_tokens or self.queued_tokens < self.window.tokens
 
     def is_throttled(self, now_seconds: float) -> bool:
-        """Tell whether its limit, or a back-off, leaves nothing to this daemon now."""
+        """Return whether its rate limit or a back-off blocks this daemon now."""
         if self.backoff_until_seconds > now_seconds:
             return True
         return (
@@ -226,7 +227,7 @@
         )
 
     def throttled_seconds(self, now_seconds: float, n_ahead: int = 0) -> float:
-        """Return how long a request is held back behind ``n_ahead`` others."""
+        """Return how long a request behind ``n_ahead`` others is throttled."""
         backoff_seconds = max(0.0, self.backoff_until_seconds - now_seconds)
         if self.rate_limiter is None:
             return backoff_seconds
@@ -235,7 +236,7 @@
         )
 
     def free_slots(self, now_seconds: float) -> float:
-        """Return for how many more requests it has room; one where prompts wait."""
+        """Return the free slots; at most one for engines and rate-limited targets."""
         n_running = self.estimate(now_seconds)[1]
         if not self.has_capacity(n_running, now_seconds):
             return 0.0
@@ -247,5 +248,5 @@
         )
 
     def limit(self) -> float:
-        """Return the most requests that it should hold."""
+        """Return the most requests that it should have at a time."""
         return max(1.0, self.view.concurrency_limit * self.view.serving_share)
--- a/lycheepost/decide/placement.py
+++ b/lycheepost/decide/placement.py
@@ -1,14 +1,13 @@
-"""Where a request goes: the target with the lowest predicted cost.
-
-Cost = predicted time to the first token, plus the prefill that another target
-would have spared, each by the deployment's weight, plus what an answer from there is
-worth less. Prairie weighs the wait,
-Mercia the recomputation. Under pressure avoidable prefill has a further price:
-without it each request that finds its owner full is recomputed elsewhere, which
-makes the fleet busier, and the next owner full, until it does little else. A
-small preference by ring order makes daemons agree
-on a new prefix before cache events reach them, and lets a hot prefix gain
-owners as its first ones fill up and lose them when demand falls.
+"""Placement: chooses the target with the lowest predicted cost for a request.
+
+Cost = predicted time to the first token, plus the prefill that another target would
+avoid, each by the deployment's weight, plus the target's penalty. The deployment
+Prairie gives more weight to the wait, Mercia to the recomputation. Under pressure
+avoidable prefill costs more: otherwise each request that finds its owner full is
+recomputed elsewhere, which loads the group further and fills the next owner, until most
+of its work is recomputation. A small preference by ring order makes daemons agree on a
+new prefix before cache events reach them. It also lets a hot prefix gain owners as its
+first ones fill up, and lose them when demand falls.
 """
 
 import math
@@ -26,45 +25,45 @@
 from lycheepost.decide.sharedlevel import shared_digest
 
 SCORE_ALL_TARGETS = 12
-"""Up to this many targets are all scored; above, only candidates, so that a
-decision costs the same before 100 and before 12,000 servers."""
+"""Groups of up to this size are scored completely; in larger ones only candidates are,
+so that a decision costs the same with 100 and with 12,000 servers."""
 
 OWNER_SECONDS = 0.01
-"""Most that a step away from the first owner costs: below what a caller notices,
-above the noise of predictions."""
+"""Maximum cost of a step away from the first owner: below what a caller notices, above
+the noise of the predictions."""
 
 TIE_SECONDS = 0.0003
-"""Least that it costs. Where nothing is shared, targets that are equally good are still
-taken in an order that differs from request to request."""
+"""Minimum cost of a step. Even where nothing is shared, ties between equally good
+targets are broken in an order that differs from request to request."""
 
 PRESSURE_PRICE = 20.0
-"""Price of avoidable prefill while the queue is never empty. Each second of it
-is then a second taken from someone who is refused, however short this request's
-own wait may get; saving a second of wait is worth a twentieth of it."""
+"""Price of a second of avoidable prefill while the queue is never empty, in seconds of
+wait. It takes engine time from a request that is then refused, which outweighs a
+shorter wait of this request."""
 
 OWNER_STEPS = 4
-"""Steps after which all other targets count alike."""
+"""All targets beyond this many steps have the same cost."""
 
 RANDOM_CANDIDATES = 2
-"""Two random targets bound the load where owners and holders are all full."""
+"""Two random targets are added, in case all owners and holders are full."""
 
 HOLDERS_PER_DIGEST = 6
 MAX_HELD_DIGESTS = 100_000
-"""Bounds memory to about 20 MB for the prefixes that one daemon sees."""
+"""Bounds memory to about 20 MB for the prefixes that one daemon handles."""
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """A placement that was weighed.
+    """The chosen placement of a request.
 
     Attributes:
         wait_seconds: Predicted time to the first token.
         cached_tokens: Prompt tokens that need no prefill there: cached by the target,
             or fetched by it from a KV store.
         uncached_tokens: Prompt tokens to prefill there.
-        can_take: Whether the target has room for it now.
-        throttled_seconds: The part of the wait that the target's limit or its back-off
-            makes.
+        can_take: Whether the target has capacity for it now.
+        throttled_seconds: The part of the wait that is due to the target's rate limit
+            or back-off.
     """
 
     load: TargetLoad
@@ -77,10 +76,10 @@
 
 
 class WaitingByTarget:
-    """Requests of our own queue that wait for a target, by target.
+    """This daemon's queued requests by the target that they wait for.
 
-    Without them the target of a hot prefix looks as if only its running work
-    lay ahead, however many of ours already wait for it.
+    Without them the predicted wait for the target of a hot prefix would include only
+    its running work, however many queued requests already wait for it.
     """
 
     def __init__(self) -> None:
@@ -93,7 +92,7 @@
         self.requests[target] = self.requests.get(target, 0) + 1
 
     def remove(self, target: TargetId, n_tokens: int) -> None:
-        """Stop counting one."""
+        """Remove one request that waited for ``target``."""
         self.tokens[target] -= n_tokens
         self.requests[target] -= 1
         if not self.requests[target]:
@@ -102,7 +101,7 @@
 
 
 class Placement:
-    """Candidates and scores within one target group."""
+    """Selects and scores candidates within one target group."""
 
     def __init__(self, settings: SchedulerSettings, rng: random.Random) -> None:
         self._settings = settings
@@ -116,21 +115,21 @@
         self.pressure = 0.0
 
     def refresh(self) -> None:
-        """Follow a change of the targets."""
+        """Rebuild the serving targets after a change."""
         self._serving = [load for load in self.loads.values() if _takes_new_work(load)]
         self._serving_by_id = {load.view.target: load for load in self._serving}
         self._ring.replace(set(self._serving_by_id))
 
     def serving(self) -> list[TargetId]:
-        """Return the targets that take new work, in an order that daemons share."""
+        """Return the targets that take new work, in the same order on every daemon."""
         return sorted(self._serving_by_id)
 
     def is_empty(self) -> bool:
-        """Tell whether no target takes new work."""
+        """Return whether no target takes new work."""
         return not self._serving
 
     def has_capacity(self, now_seconds: float) -> bool:
-        """Tell whether some target may take work now; guesses in large groups."""
+        """Return whether any target has capacity; assumed in large groups."""
         if len(self._serving) > SCORE_ALL_TARGETS:
             return True
         return any(
@@ -139,10 +138,10 @@
         )
 
     def full_share(self, now_seconds: float) -> float:
-        """Return the share of targets without room; sampled in large groups.
+        """Return the share of targets without capacity; sampled in large groups.
 
-        Targets that are held back from this daemon don't count unless all are: they say
-        nothing of how busy the others are.
+        Throttled targets are not counted unless all are: their throttling does not show
+        how busy the others are.
         """
         loads = self._serving
         if len(loads) > SCORE_ALL_TARGETS:
@@ -155,7 +154,7 @@
         return n_full / max(1, len(loads))
 
     def note_holder(self, levels: Sequence[PrefixLevel], target: TargetId) -> None:
-        """Remember that ``target`` is about to hold ``levels``."""
+        """Record that ``target`` is about to cache ``levels``."""
         if len(self._serving) <= SCORE_ALL_TARGETS:
             return
         for level in levels:
@@ -192,22 +191,21 @@
         waiting_ahead: WaitingByTarget,
         ignores_pressure: bool = False,
     ) -> Choice | None:
-        """Return the best placement of ``work``; None when no target fits.
+        """Return the best placement of ``work``; None if no target can run it.
 
         Args:
             work: The request to place.
-            now_seconds: The present time.
+            now_seconds: The current time.
             avoid: Targets that must not get this request.
-            waiting_ahead: Requests ahead in the queue that wait for a target.
+            waiting_ahead: Requests ahead in the queue, by the target they wait for.
             ignores_pressure: Leave out the price of recomputation under pressure.
         """
         owners = self._ring.owners(_owner_key(work), OWNER_STEPS)
         usable = _usable(self._candidates(work, owners), work, avoid)
         free = _not_throttled(usable, now_seconds)
         if not free:
-            # All candidates have failed it, or are kept from it or held back:
-            # rare enough to look at every target rather than refuse it before
-            # thousands.
+            # All candidates are excluded or throttled. This is rare, so every target
+            # is scored rather than refusing the request while others could serve it.
             usable = _usable(self._serving, work, avoid)
             free = _not_throttled(usable, now_seconds)
         if not usable:
@@ -218,10 +216,10 @@
         )
 
     def _step_seconds(self, work: Work) -> float:
-        """Return what a step away from the first owner costs.
+        """Return the cost of a step away from the first owner.
 
-        No more than the prefill that owners spare: a short prompt, or a request of a
-        plain service, goes where the wait is shortest, and not where its hash says.
+        It is at most the prefill that owners avoid: a short prompt, or a request of a
+        plain service, goes where the wait is shortest, not where its hash points.
         """
         saved_seconds = _shared_tokens(work) * self.rates.token_seconds
         return min(OWNER_SECONDS, max(TIE_SECONDS, saved_seconds / OWNER_STEPS))
@@ -235,11 +233,11 @@
         work: Work,
         ignores_pressure: bool,
     ) -> Choice:
-        """Return the target of lowest cost.
+        """Return the placement with the lowest cost.
 
-        One loop without calls per target where it can be avoided: it runs for
-        each arriving request, 100 of them a second in a daemon, and for each
-        waiting one whenever room appears.
+        A single loop with few calls per target, for speed: it runs for each arriving
+        request, 100 per second in a daemon, and for waiting requests whenever capacity
+        becomes free.
         """
         rates = self.rates
         token_seconds = rates.token_seconds
@@ -295,12 +293,12 @@
     work: Work,
     avoid: frozenset[TargetId] | set[TargetId],
 ) -> list[tuple[TargetLoad, int, int]]:
-    """Return the targets that may run ``work``, with what each must do first.
+    """Return the targets that may run ``work``, with the tokens each must load.
 
     Returns:
         The target, the prompt tokens that it has to prefill, and those that it can
-        fetch from a KV store instead. A fetch takes a small part of a prefill and
-        none of the engine's time, so what the store keeps binds a prompt to no target.
+        fetch from a KV store instead. A fetch takes a small part of the time of a
+        prefill and no engine time, so stored tokens tie a prompt to no target.
     """
     version = work.weights_version
     usable: list[tuple[TargetLoad, int, int]] = []
@@ -319,11 +317,10 @@
 def _not_throttled(
     usable: list[tuple[TargetLoad, int, int]], now_seconds: float
 ) -> list[tuple[TargetLoad, int, int]]:
-    """Return the targets that are not held back from this daemon now.
+    """Return the targets that are not throttled for this daemon now.
 
-    The load: a hot prompt that a target in need caches. Work that waited for its limit,
-    or for the end of its back-off, would be late, and the queue that it makes would
-    have others refused.
+    If a hot prompt is cached by a throttled target, work that waited for the end of its
+    rate limit or back-off would be late, and its queue would cause refusals of others.
     """
     return [item for item in usable if not item[0].is_throttled(now_seconds)]
 
@@ -333,7 +330,7 @@
 
 
 def _owner_key(work: Work) -> int:
-    """Return what a prompt is placed by: what others share of it, or itself."""
+    """Return the ring key of a prompt: its shared prefix, or its own fingerprint."""
     digest = shared_digest(work.levels)
     return int(work.fingerprint if digest is None else digest)
 
--- a/lycheepost/decide/promptlevels.py
+++ b/lycheepost/decide/promptlevels.py
@@ -1,8 +1,9 @@
-"""Prefix levels of prompts that are told in parts, and the scope they are kept in.
+"""Prefix levels of prompts that callers describe in parts, and their cache scope.
 
-An engine keeps each part under the scope that it was sent with. The scope names the
-weights, because parts made with others give wrong answers, and the customer where
-it is isolated, because not even the speed of an answer may show what others asked.
+An engine caches each part under the scope that it was sent with. The scope names the
+weights, because KV cache computed with other weights gives wrong output. For an
+isolated customer it names the customer, because even response times must not reveal
+what other customers have sent.
 """
 
 from dataclasses import dataclass
@@ -17,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheScope:
-    """Within what cached parts are shared.
+    """Scope within which cached parts are shared.
 
     Attributes:
-        owner: An isolated customer; empty for what all others share.
+        owner: An isolated customer; empty for the scope of all others.
     """
 
     weights_version: WeightsVersion
@@ -31,7 +32,7 @@
 
 
 def make_scope(holder: KeyHolder, weights_version: WeightsVersion) -> CacheScope:
-    """Return the scope of a customer's requests under some weights."""
+    """Return the scope of a customer's requests under a weights version."""
     owner = holder.customer if holder.is_isolated else CustomerId("")
     return CacheScope(weights_version, owner)
 
@@ -45,8 +46,8 @@
 def part_digest(scope: CacheScope, model: ModelId, part_id: str) -> PrefixDigest:
     """Return the digest of one part of a prompt.
 
-    The same for all prompts that hold the part: an engine's events name parts, not
-    the prompts that they came with.
+    It is the same for all prompts with the part: an engine's events name parts, not
+    prompts.
     """
     return PrefixDigest(hash_bytes(f"{scope}\x00{model}\x00{part_id}".encode()))
 
--- a/lycheepost/decide/queueing.py
+++ b/lycheepost/decide/queueing.py
@@ -1,11 +1,11 @@
-"""The queue of one target group: weighted fair between customers.
+"""Weighted fair queue of one target group.
 
 Start-time fair queueing: each customer has a virtual time that advances by the
-predicted cost of its dispatched work over its weight, and the customer with the
-least virtual time goes next. A customer inside its share is therefore served
-ahead of one that sends ten times its share, however long the latter's queue is.
-Within one customer, urgent work goes first, then short work before long work
-that arrived a little earlier, then the order of arrival.
+predicted cost of its dispatched work over its weight, and the customer with the least
+virtual time goes next. A customer inside its share is thus served before one that sends
+ten times its share, however long the latter's queue is. Within one customer, urgent
+work goes first, then short work before long work that arrived a little earlier, then
+the order of arrival.
 """
 
 from bisect import bisect_right, insort
@@ -17,28 +17,28 @@
 from lycheepost.decide.records import Work
 
 PRIORITY_SECONDS = 4.0
-"""Head start of one priority class over the next. A bound instead of a strict
-order, so that a flow of urgent work cannot starve a batch for ever."""
+"""Advantage of one priority class over the next. It is bounded, as a strict order would
+let a steady flow of urgent work starve batches."""
 
 LENGTH_SHARE = 0.1
 MAX_LENGTH = 4.0
-"""Each mean cost of a request delays its rank by a tenth of its patience, up to
-four of them. Short work passes long work, and under overload a request whose
-prefix is cached passes one whose prefix is not, so whole batches are served
-while they are warm instead of parts of all of them cold. The bound keeps long
-and cold work from starving."""
+"""For each mean cost that a request takes, up to ``MAX_LENGTH`` of them, its rank is
+delayed by this share of its first-token timeout. Short work passes long work, and under
+overload a request whose prefix is cached passes one whose prefix is not, so that whole
+batches are served while their prefix is cached. The bound prevents starvation of long
+and uncached work."""
 
 COST_GAIN = 0.02
-"""Weight of one request in the mean cost; fifty settle it."""
+"""Weight of one request in the mean cost, which adapts within about fifty requests."""
 
 INSIDE_LEAD_SECONDS = 1e6
-"""Puts all requests of customers inside their share before all others."""
+"""Places requests of customers inside their share before all others."""
 
 CREDIT_SECONDS = 3.0
-"""Engine time that an idle customer may have saved up, over its weight: a
-customer far inside its share may send some requests at once without waiting
-behind those who are over theirs. It is forgotten beyond that, or a customer
-that slept all night could shut out all others in the morning."""
+"""Engine time, over its weight, that an idle customer may accumulate as credit: a
+customer far inside its share may send some requests at once without waiting behind
+customers over theirs. Without this bound a customer that was idle for hours could block
+all others."""
 
 
 @dataclass(slots=True)
@@ -48,10 +48,10 @@
     Attributes:
         rank: Order within the customer; lower goes first.
         cost_seconds: Predicted engine time.
-        deadline_seconds: When the caller leaves.
+        deadline_seconds: When the caller's timeout ends.
         give_up_seconds: When it is refused if it still waits.
-        latest_dispatch_seconds: Sent out by then it may still meet its objective.
-        predicted_seconds: Wait that was predicted for it.
+        latest_dispatch_seconds: Last dispatch time at which it can meet its objective.
+        predicted_seconds: Predicted wait.
         awaited_target: The target it waits for and the tokens to prefill there.
     """
 
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, eq=False)
 class _LaneCursor:
-    """How far a look through one lane has come."""
+    """Position of one iteration over a lane."""
 
     virtual_seconds: float
     lane: Lane
@@ -118,13 +118,13 @@
         return request in self._by_request
 
     def set_weights(self, weights: dict[CustomerId, float]) -> None:
-        """Set the weight of each customer in fair sharing; 1 when missing."""
+        """Set the weight of each customer in fair queueing; 1 if missing."""
         self._weights = weights
         for customer, lane in self.lanes.items():
             lane.weight = weights.get(customer, 1.0)
 
     def lane(self, customer: CustomerId) -> Lane:
-        """Return the lane of ``customer``, made on first use."""
+        """Return the lane of ``customer``, which is created on first use."""
         lane = self.lanes.get(customer)
         if lane is None:
             weight = self._weights.get(customer, 1.0)
@@ -177,7 +177,7 @@
     def lead_seconds(self, customer: CustomerId) -> float:
         """Return how far a customer's service is ahead of the fair order.
 
-        Not above zero: it has had less than its share of late.
+        Zero or less means that it has recently had no more than its share.
         """
         return self.lane(customer).virtual_seconds - self.virtual_seconds
 
@@ -212,8 +212,8 @@
 
         Args:
             limit: Most requests to yield.
-            is_inside: Tells customers that ask for no more than their share;
-                theirs go first, as they cannot crowd out the others.
+            is_inside: Returns whether a customer's demand is within its share. Requests
+                of such customers go first, as they cannot displace the others.
         """
         cursors = [
             _LaneCursor(self._start_of(lane, is_inside), lane)
--- a/lycheepost/decide/records.py
+++ b/lycheepost/decide/records.py
@@ -1,7 +1,7 @@
-"""Records that enter and leave the decisions.
+"""Input and output records of the scheduler.
 
-The scheduler (``decide.scheduler``) is fed with these records and answers with
-``Outcome`` records. The daemon and the policy bench use the same ones.
+``decide.scheduler`` takes these records and returns ``Outcome`` records. The daemon and
+the policy bench use the same ones.
 """
 
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 
 class Priority(Enum):
-    """How urgent a caller says a request is; lower runs first."""
+    """Urgency of a request as stated by its caller; lower values run first."""
 
     INTERACTIVE = 0
     NORMAL = 1
@@ -30,7 +30,7 @@
 
 
 class TargetState(Enum):
-    """What new work a target may get."""
+    """Whether a target gets new work."""
 
     SERVING = "serving"
     WARMING = "warming"
@@ -57,7 +57,8 @@
     CANCELLED = "cancelled"
     TARGET_REFUSED = "target_refused"
     ANSWER_LOST = "answer_lost"
-    """The answer broke off while the target lives on; no sign of a killer."""
+    """The response broke off but the target is still alive, so the request did not
+    crash it."""
     TARGET_LOST = "target_lost"
 
 
@@ -76,19 +77,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """One request as the decisions see it.
+    """One request as the scheduler sees it.
 
     Attributes:
         levels: Prefix levels, outermost first; empty for plain services.
         prompt_tokens: Estimated tokens of the whole prompt.
-        output_tokens: Expected tokens of the answer.
+        output_tokens: Expected tokens of the response.
         arrived_seconds: When the daemon received the request.
         first_token_timeout_seconds: How long the caller waits for the first token.
         excluded: Targets that have already failed this request.
-        objective_seconds: From its arrival to a first token that is on time; infinite
-            where none is told.
-        kept_tokens: Tokens from the prompt's start that a KV store is believed to
-            keep, for targets that can fetch them.
+        objective_seconds: Latency objective for the first token, from the arrival;
+            infinite if there is none.
+        kept_tokens: Tokens of the prompt's prefix that a KV store is estimated to
+            hold, for targets that can fetch them.
     """
 
     request: RequestId
@@ -111,14 +112,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetView:
-    """A target as the configuration and membership describe it.
+    """A target as described by the configuration and membership.
 
     Attributes:
         concurrency_limit: Most requests the target should run at once.
         serving_share: Share of normal traffic, 0 to 1; grows while warming.
-        penalty_seconds: What an answer from here is worth less, told as a wait.
-        fetch_token_seconds: Time to fetch one token's KV cache from its store; 0 where
-            it has none.
+        penalty_seconds: Extra cost of a response from this target, as seconds of wait.
+        fetch_token_seconds: Time to fetch one token's KV cache from a KV store; 0 if it
+            cannot fetch.
     """
 
     target: TargetId
@@ -136,10 +137,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a target says of itself; late by up to a few seconds.
+    """A target's report of its own load, up to a few seconds late.
 
     Attributes:
-        measured_seconds: When the target took the measurement, on our clock.
+        measured_seconds: Time of the measurement, by this daemon's clock.
         queued_prompt_tokens: Prompt tokens waiting for prefill.
     """
 
@@ -158,7 +159,7 @@
 
     Attributes:
         predicted_wait_seconds: Predicted time to the first token.
-        expected_cached_tokens: Prompt tokens believed to be cached there.
+        expected_cached_tokens: Prompt tokens estimated to be cached there.
     """
 
     request: RequestId
@@ -172,8 +173,7 @@
     """Refuse the request; it has reached no target.
 
     Attributes:
-        retry_after_seconds: When a new try may succeed; None when waiting does
-            not help.
+        retry_after_seconds: When a retry may succeed; None if waiting does not help.
     """
 
     request: RequestId
--- a/lycheepost/decide/ring.py
+++ b/lycheepost/decide/ring.py
@@ -1,9 +1,9 @@
-"""Which targets a prefix belongs to, the same on every daemon.
+"""Consistent-hash ring that maps a prefix to its owners, equal on every daemon.
 
-A consistent-hash ring: each target stands at several points, and the owners of
-a key are the next distinct targets from the key's point on. Finding them costs
-the logarithm of the number of points, where rendezvous hashing would weigh
-every target; both move only the keys of the target that joins or leaves.
+Each target has several points on the ring, and the owners of a key are the next
+distinct targets from the key's point on. A lookup is logarithmic in the number of
+points, while rendezvous hashing would have to score every target. Both move only the
+keys of the target that joins or leaves.
 """
 
 from bisect import bisect_left, insort
@@ -12,8 +12,8 @@
 from lycheepost.core.ids import TargetId
 
 POINTS_PER_TARGET = 32
-"""Spread of the owners' shares is about 1/sqrt(32), 18%; load evens out the
-rest, since a loaded owner passes work on to the next."""
+"""The owners' shares vary by about 1/sqrt(32), 18%. Placement by load evens that out: a
+loaded owner's requests go to the next one."""
 
 _MASK = 0xFFFFFFFFFFFFFFFF
 
@@ -26,7 +26,7 @@
         self._targets: set[TargetId] = set()
 
     def replace(self, targets: set[TargetId]) -> None:
-        """Make the ring hold exactly ``targets``; the cost grows with changes."""
+        """Set the targets of the ring; the cost grows with the number of changes."""
         removed = self._targets - targets
         added = targets - self._targets
         if removed:
--- a/lycheepost/decide/rollout.py
+++ b/lycheepost/decide/rollout.py
@@ -1,13 +1,12 @@
-"""Which targets are given new weights next.
-
-Each operator's version is to be in place everywhere within a bound, and answers
-begun on older weights are worth less to callers the longer that takes. A target
-that changes its weights serves nothing meanwhile and forgets its cache. So
-targets change a few at a time, the least busy first, each straight to the newest
-version: a version that was named and then overtaken is never loaded. A target is
-left alone before its order until its runs have ended, or for a short time: what a run
-makes under weights that it did not begin with is worth nothing to its caller, and the
-pause of a change makes each stream late.
+"""Chooses which targets load new weights next.
+
+An operator's version must be in place everywhere within a bound, and responses begun on
+older weights are worth less to callers the longer that takes. A target that changes its
+weights serves nothing meanwhile and loses its cache. So a few targets change at a time,
+the least busy first, each directly to the newest version: a superseded version is never
+loaded. Before its order a target is drained until its runs have ended, or for a short
+time: output under other weights than those a run began with is worthless to its caller,
+and the pause of the change delays each stream.
 """
 
 from collections.abc import Sequence
@@ -16,18 +15,16 @@
 from lycheepost.core.ids import ModelId, TargetId, WeightsVersion
 
 MAX_CHANGING_SHARE = 0.34
-"""Part of a group that changes at once. The rest carries the traffic meanwhile; at
-half of a group, callers would wait longer than the change takes."""
-
+"""Share of a group that changes at the same time, while the others carry the traffic.
+With half of a group, callers would wait longer than the change takes."""
 
 MIN_DRAIN_SECONDS = 0.1
-"""Time for the word that a target changes to reach all daemons, and for what they had
-sent by then to show in the load that they tell."""
+"""Time until all daemons are notified that a target changes, and until what they had
+sent by then appears in the load that they report."""
 
 MAX_DRAIN_SECONDS = 0.6
-"""Longest time that a target waits without new work for its runs to end, when no other
-serves old weights any more. Most streams are shorter; a longer wait keeps the others
-busier."""
+"""Longest time that a target is drained when no other one serves old weights any more.
+Most streams end sooner; a longer drain loads the other targets more."""
 
 
 def is_due(
@@ -36,17 +33,16 @@
     old_share: float,
     max_seconds: float = MAX_DRAIN_SECONDS,
 ) -> bool:
-    """Tell whether a target that gets no new work is ordered now.
+    """Return whether a draining target is ordered to change now.
 
-    Each moment that it waits puts off all changes that come after its own, in which
-    requests begin on old weights. So the first targets wait hardly at all, and the last
-    ones as long as it is worth to their runs.
+    Draining delays all later changes, and meanwhile requests begin on old weights. So
+    the first targets are drained only briefly, and the last ones for longer.
 
     Args:
-        drained_seconds: For how long it has got none.
+        drained_seconds: How long it has got no new work.
         n_running: Requests that it still runs, as far as known.
-        old_share: Part of all targets that serve on old weights meanwhile.
-        max_seconds: Longest time to wait for their end.
+        old_share: Share of all targets that still serve old weights.
+        max_seconds: Longest time to wait for the runs to end.
     """
     if drained_seconds < MIN_DRAIN_SECONDS:
         return False
@@ -54,20 +50,20 @@
 
 
 def old_share(wanted: int, targets: Sequence["TargetWeights"]) -> float:
-    """Return the part of the targets that serve on weights older than wanted."""
+    """Return the share of the targets that serve weights older than wanted."""
     n_old = sum(item.version < wanted and not item.is_changing for item in targets)
     return n_old / max(1, len(targets))
 
 
 @dataclass(frozen=True, slots=True)
 class TargetWeights:
-    """One target as the holder of the duty sees it.
+    """One target as seen by the daemon that runs the rollout.
 
     Attributes:
-        version: Place of its weights among the versions of its model.
-        n_running: Requests that it runs, as it last said.
-        is_changing: An order to it is under way, also one to a version that was
-            overtaken meanwhile: it takes no other until that is done.
+        version: Number of its weights among the versions of its model.
+        n_running: Requests that it runs, by its last report.
+        is_changing: Whether an order to it is in progress, even to a superseded
+            version: it accepts no other until that is done.
     """
 
     target: TargetId
@@ -78,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightsOrder:
-    """Bring one target to a version."""
+    """An order to one target to load a version."""
 
     target: TargetId
     model: ModelId
@@ -86,7 +82,7 @@
 
 
 def max_changing(n_targets: int) -> int:
-    """Return how many targets of a group may change at the same time."""
+    """Return the most targets of a group that may change at the same time."""
     return max(1, int(n_targets * MAX_CHANGING_SHARE))
 
 
@@ -97,7 +93,7 @@
 
     Args:
         model: The model whose weights change.
-        wanted: Place of the newest version.
+        wanted: Number of the newest version.
         targets: All targets of the model.
     """
     n_free = max_changing(len(targets)) - sum(item.is_changing for item in targets)
--- a/lycheepost/decide/routes.py
+++ b/lycheepost/decide/routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, whose it is, and which target group serves it."""
+"""Route matching: a request's route, its customer, its target group and KV store."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -20,11 +20,11 @@
 _MEGA = 1e6
 
 ANONYMOUS = KeyHolder(CustomerId(""))
-"""Who asks on a public route, or where no keys are in use."""
+"""The caller on a public route, or where no keys are in use."""
 
 
 class RouteFault(Enum):
-    """Why a request has no way."""
+    """Why a request matches no route."""
 
     NO_ROUTE = "no_route"
     UNKNOWN_KEY = "unknown_key"
@@ -35,7 +35,7 @@
     """A request's route and its sender.
 
     Attributes:
-        is_keyed: The request is allowed only because of its key.
+        is_keyed: Whether the request is allowed only because of its key.
     """
 
     route: Route
@@ -52,13 +52,13 @@
 def match_route(
     table: RouteTable, host: str, path: str, key: str | None
 ) -> RouteMatch | RouteFault:
-    """Return a request's route and sender, or why it has none.
+    """Return a request's route and sender, or why it matches none.
 
     Args:
         table: The configuration in force.
-        host: Host name asked for, without a port.
-        path: Path asked for, without the query.
-        key: The caller's key; None when it sent none.
+        host: Requested host name, without a port.
+        path: Requested path, without the query.
+        key: The caller's key; None if it sent none.
     """
     route = find_route(table, host, path)
     if route is None:
@@ -75,8 +75,8 @@
     """Return the target group that serves one request of ``route``.
 
     Args:
-        route: The route; groups without weight get nothing.
-        point: Evenly spread in [0, 1); the same point gives the same group.
+        route: The route; groups of weight 0 get no requests.
+        point: Uniformly distributed in [0, 1); the same point gives the same group.
     """
     weighted = [share for share in route.shares if share.weight > 0] or route.shares
     rest = point * sum(share.weight for share in weighted)
@@ -84,28 +84,28 @@
         rest -= share.weight
         if rest < 0:
             return share.target_group
-    # The sum of the parts may be a last bit short of the whole.
+    # Rounding may leave a tiny rest after the last share.
     return weighted[-1].target_group
 
 
 ZONE_FACTOR = 2.0
-"""How much longer KV cache takes to another availability zone, by the platform's
-protocol."""
+"""Transfers of KV cache between availability zones take this many times as long, by the
+platform's protocol."""
 
 STORE_SHARE = 0.4
-"""Part of a store's link that one fetch may count on: the store serves all engines one
-after the other, and beyond two thirds of its speed its queue grows fast."""
+"""Share of a store's link that is assumed for one fetch. The store serves all engines
+one after the other, and above two thirds of its bandwidth its queue grows quickly."""
 
 
 def fetch_token_seconds(
     table: RouteTable, zone: AvailabilityZone, engine: EngineTraits | None
 ) -> float:
-    """Return how long a target needs to fetch one token's KV cache; 0 for never.
+    """Return how long a target needs to fetch one token's KV cache; 0 if it cannot.
 
     Args:
-        table: Names the stores; a prompt may be kept by any one of them.
+        table: Lists the stores; a prompt may be stored in any of them.
         zone: The target's availability zone.
-        engine: What the target is able to do; None for a plain service.
+        engine: The target's capabilities; None for a plain service.
     """
     if engine is None or not table.kv_stores:
         return 0.0
@@ -124,14 +124,14 @@
 
 
 def choose_kv_store(table: RouteTable, levels: Sequence[PrefixLevel]) -> str:
-    """Return the address of the KV store that keeps a prompt; empty for none.
-
-    The load: three stores, each of which has room for half of what is shared, and a
-    link that a third of the fetches fills. Where each engine uses the store of its
-    zone, every store is sent everything and drops it again before it is asked for, and
-    zones without a store share the link of one. So the prompts are divided among the
-    stores by what others share of them: together they keep it all, and each link
-    carries its part. What crosses zones takes twice as long, a few milliseconds.
+    """Return the address of the KV store for a prompt; empty for none.
+
+    Prompts are divided among the stores by their shared prefix. If each engine used the
+    store of its zone instead, every store would be sent everything. With three stores
+    that each hold half of the shared prefixes, entries would be evicted before they are
+    fetched, and zones without a store would overload the link of one, which a third of
+    the fetches fills. Divided, the stores hold all of it and each link carries its
+    share. Transfers between zones take twice as long, a few milliseconds.
     """
     digest = shared_digest(levels)
     if digest is None:
--- a/lycheepost/decide/scheduler.py
+++ b/lycheepost/decide/scheduler.py
@@ -1,7 +1,7 @@
-"""Decides for each request: dispatch now, wait, or refuse.
+"""Scheduler: decides for each request to dispatch it, queue it or refuse it.
 
-One scheduler per daemon, driven by calls that carry the time. It does no input
-or output, so the daemon and the policy bench run the very same decisions.
+There is one scheduler per daemon. Its methods get the time as an argument and do no
+input or output, so the daemon and the policy bench run the same decisions.
 """
 
 import random
@@ -37,15 +37,15 @@
 from lycheepost.generated.engine import CacheEvent
 
 GONE_RETRY_SECONDS = 2.0
-"""Targets come back, or their replacements are seen, within a few seconds."""
+"""Lost targets, or their replacements, become available within a few seconds."""
 
 
 class Scheduler:
-    """All decisions of one daemon.
+    """All scheduling decisions of one daemon.
 
     Args:
         settings: Bounds and weights.
-        seed: Seeds jitter and random candidates, so that a run repeats.
+        seed: Seed of jitter and random candidates, so that runs are repeatable.
     """
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
@@ -70,7 +70,7 @@
     def replace_targets(
         self, targets: tuple[TargetView, ...], now_seconds: float
     ) -> list[Outcome]:
-        """Follow a change of the targets; work may now go out or find none."""
+        """Replace the targets and dispatch waiting requests."""
         wanted = {view.target: view for view in targets}
         self._forget_backoffs(wanted, now_seconds)
         for target in [name for name in self._group_by_target if name not in wanted]:
@@ -87,7 +87,7 @@
     def _forget_backoffs(
         self, targets: Collection[TargetId], now_seconds: float
     ) -> None:
-        """Forget back-offs that are over; a target that is away for now has asked."""
+        """Drop ended back-offs of absent targets; others stay in case of a return."""
         self._backoffs = {
             target: until_seconds
             for target, until_seconds in self._backoffs.items()
@@ -120,13 +120,13 @@
         return group
 
     def set_shares(self, weights: dict[CustomerId, float]) -> None:
-        """Set each customer's weight in fair sharing; 1 when missing."""
+        """Set each customer's weight in fair queueing; 1 if missing."""
         self._weights = weights
         for group in self._groups.values():
             group.set_weights(weights)
 
     def arrive(self, work: Work, now_seconds: float) -> list[Outcome]:
-        """Take a new request."""
+        """Admit a new request."""
         refusal = self._refuse_early(work, now_seconds)
         if refusal is not None:
             return [refusal]
@@ -134,7 +134,7 @@
         return self._admit(work, now_seconds)
 
     def _budget(self, target_group: TargetGroupId) -> RetryBudget:
-        """Return the budget of one group: trouble of one must not spend another's."""
+        """Return the group's own budget; failures in others must not spend it."""
         budget = self._budgets.get(target_group)
         if budget is None:
             budget = RetryBudget(self._retry_terms)
@@ -145,7 +145,7 @@
         return self._budget(work.target_group).spend(now_seconds)
 
     def set_retry_terms(self, terms: RetryTerms) -> None:
-        """Set what may be tried again here in each group."""
+        """Set the terms of every group's retry budget."""
         self._retry_terms = terms
         for budget in self._budgets.values():
             budget.set_terms(terms)
@@ -153,16 +153,16 @@
     def retry(
         self, work: Work, now_seconds: float, is_free: bool = False
     ) -> list[Outcome]:
-        """Take a request again after a target failed it.
+        """Admit a request again after a target failed it.
 
         ``work.excluded`` names the targets that have failed it.
 
         Args:
             work: The request.
-            now_seconds: The present time.
-            is_free: No byte of it has reached a target, so that sending it now
-                loads the fleet no more than a first try; or its retry was taken
-                before.
+            now_seconds: The current time.
+            is_free: Whether the retry does not use the budget: no byte of the request
+                has reached a target, so it causes no more load than a first attempt,
+                or ``take_retry`` has reserved the retry.
         """
         refusal = self._refuse_early(work, now_seconds)
         if refusal is not None:
@@ -174,15 +174,15 @@
         return self._admit(work, now_seconds)
 
     def take_retry(self, work: Work, now_seconds: float) -> bool:
-        """Reserve a retry for work whose target may still answer.
+        """Reserve a retry for work whose target may still respond.
 
-        The load is a fleet so busy that its targets fall silent for a moment. Work
-        that is taken from one of them and then finds no other, or no budget, has
-        lost an answer that was on its way.
+        Under high load targets may be silent for a moment. Work that is withdrawn from
+        one and then finds no other target, or no budget, would lose a response that was
+        about to arrive.
 
         Returns:
-            Whether another target has room for it now and the budget allows it;
-            ``retry`` is then told that it is free.
+            Whether another target has capacity for it now and the budget allows it; the
+            caller then passes ``is_free`` to ``retry``.
         """
         is_spent = len(work.excluded) >= self._settings.max_tries
         if is_spent or self._refuse_early(work, now_seconds) is not None:
@@ -216,7 +216,7 @@
     def first_token(
         self, request: RequestId, now_seconds: float, cached_tokens: int | None
     ) -> None:
-        """Note a first token; the next tick uses the room it leaves."""
+        """Record a first token; the next tick uses the capacity that it frees."""
         group = self._group_by_request.get(request)
         if group is not None:
             group.first_token(request, now_seconds, cached_tokens)
@@ -224,7 +224,7 @@
     def note_usage(
         self, request: RequestId, prompt_tokens: int, cached_tokens: int
     ) -> None:
-        """Learn from the usage that an engine tells with the end of an answer."""
+        """Record the usage that an engine reports at the end of a response."""
         group = self._group_by_request.get(request)
         if group is not None and prompt_tokens > 0:
             group.note_usage(prompt_tokens, cached_tokens)
@@ -232,7 +232,7 @@
     def finish(
         self, request: RequestId, now_seconds: float, kind: FinishKind
     ) -> list[Outcome]:
-        """Note the end of a dispatched request."""
+        """Record the end of a dispatched request."""
         group = self._group_by_request.pop(request, None)
         if group is None:
             return []
@@ -250,7 +250,7 @@
         return outcomes
 
     def cancel(self, request: RequestId, now_seconds: float) -> list[Outcome]:
-        """Drop a request that still waits; its caller has left."""
+        """Remove a waiting request whose caller has left."""
         group = self._group_by_request.get(request)
         if group is None or not group.remove(request):
             return []
@@ -258,11 +258,11 @@
         return group.dispatch_waiting(now_seconds)
 
     def has_work(self) -> bool:
-        """Tell whether any request waits or runs."""
+        """Return whether any request waits or runs."""
         return bool(self._group_by_request)
 
     def tick(self, now_seconds: float) -> list[Outcome]:
-        """Do what falls due with time; called every 20 ms."""
+        """Do the periodic work; called every 20 ms."""
         self._now_seconds = now_seconds
         outcomes: list[Outcome] = []
         for group in self._groups.values():
@@ -271,7 +271,7 @@
         return outcomes
 
     def observe_load(self, report: LoadReport, now_seconds: float) -> None:
-        """Take in a target's load report."""
+        """Apply a target's load report."""
         group = self._group_by_target.get(report.target)
         if group is None:
             return
@@ -281,12 +281,13 @@
     def set_limit(
         self, target: TargetId, per_second: float | None, now_seconds: float
     ) -> list[Outcome]:
-        """Follow the limit that a target names, in requests a second of all daemons.
+        """Set the rate limit that a target reports.
 
         Args:
             target: The target.
-            per_second: The limit; None once it names none.
-            now_seconds: The present time.
+            per_second: Requests per second from all daemons together; None for no
+                limit.
+            now_seconds: The current time.
         """
         self._limits.pop(target, None)
         if per_second is not None:
@@ -296,18 +297,18 @@
         return [] if group is None else group.dispatch_waiting(now_seconds)
 
     def back_off(self, target: TargetId, until_seconds: float) -> None:
-        """Send a target nothing until then, as it has asked."""
+        """Send no requests to a target until ``until_seconds``, as it has asked."""
         self._backoffs[target] = until_seconds
         self._pass_backoff(target)
 
     def _pass_backoff(self, target: TargetId) -> None:
-        """Tell a target's group until when it is backed off."""
+        """Pass a target's back-off to its group."""
         group = self._group_by_target.get(target)
         if group is not None and target in self._backoffs:
             group.throttle.back_off(target, self._backoffs[target])
 
     def _pass_limit(self, target: TargetId, now_seconds: float) -> None:
-        """Tell a target's group of its limit."""
+        """Pass a target's rate limit to its group."""
         group = self._group_by_target.get(target)
         if group is not None:
             per_second = self._limits.get(target)
@@ -316,7 +317,7 @@
             )
 
     def set_sharing_limits(self, n_daemons: int, now_seconds: float) -> None:
-        """Follow among how many daemons the limits of targets are divided."""
+        """Set the number of daemons that the targets' limits are divided among."""
         if n_daemons == self._n_sharing_limits:
             return
         self._n_sharing_limits = n_daemons
@@ -326,7 +327,7 @@
     def set_peer_load(
         self, target: TargetId, load: UnderWay, now_seconds: float
     ) -> None:
-        """Take what the other daemons have under way at a target."""
+        """Set the load that peers have at a target."""
         group = self._group_by_target.get(target)
         if group is not None:
             group.placement.loads[target].set_peer_load(
@@ -336,30 +337,30 @@
     def draw_admission(
         self, n_waiting: Callable[[TargetGroupId], int], now_seconds: float
     ) -> None:
-        """Draw a part of the room that other daemons see as well.
+        """Draw this daemon's share of the free slots that peers also see.
 
         Args:
             n_waiting: Returns how many peers have requests waiting for a group.
-            now_seconds: The present time.
+            now_seconds: The current time.
         """
         for name, group in self._groups.items():
             group.draw_admission(n_waiting(name), now_seconds)
 
     def waiting_groups(self) -> tuple[TargetGroupId, ...]:
-        """Return the groups that requests wait for here, for the peers."""
+        """Return the groups with waiting requests, to be sent to peers."""
         return tuple(
             sorted(name for name, group in self._groups.items() if group.n_waiting)
         )
 
     def dispatch_waiting(self, now_seconds: float) -> list[Outcome]:
-        """Send out what waits and has room by what the others told."""
+        """Dispatch waiting requests after peers have reported their load."""
         outcomes: list[Outcome] = []
         for group in self._groups.values():
             outcomes.extend(group.dispatch_waiting(now_seconds))
         return outcomes
 
     def under_way(self) -> dict[TargetId, UnderWay]:
-        """Return what is under way from here, for the peers."""
+        """Return this daemon's load at each target, to be sent to peers."""
         found: dict[TargetId, UnderWay] = {}
         for target, group in self._group_by_target.items():
             load = group.placement.loads[target]
@@ -375,7 +376,7 @@
         events: tuple[CacheEvent, ...],
         now_seconds: float,
     ) -> None:
-        """Take in a target's cache events."""
+        """Apply a target's cache events."""
         group = self._group_by_target.get(target)
         if group is not None:
             group.placement.loads[target].cache_estimate.observe(boot_id, events)
@@ -390,11 +391,11 @@
         started_seconds: float,
         lost_seconds: float,
     ) -> None:
-        """Count a target loss that a peer saw this fingerprint running in."""
+        """Count a target loss, reported by a peer, while this fingerprint ran there."""
         self._quarantine.note_loss(fingerprint, started_seconds, lost_seconds)
 
     def take_placed(self) -> tuple[Placed, ...]:
-        """Return the prompts that were sent out since the last call, for the peers."""
+        """Return the prompts dispatched since the last call, to be sent to peers."""
         placed: list[Placed] = []
         for group in self._groups.values():
             placed += group.placed
@@ -402,32 +403,32 @@
         return tuple(placed)
 
     def note_placed(self, placed: Placed) -> None:
-        """Take a prompt that a peer has sent to a target."""
+        """Record a prompt that a peer has sent to a target."""
         group = self._group_by_target.get(placed.target)
         if group is not None:
             group.note_placed(placed)
 
     def take_losses(self) -> list[LossSeen]:
-        """Return the losses seen since the last call, to tell the peers."""
+        """Return the losses seen since the last call, to be sent to peers."""
         losses = self._losses
         self._losses = []
         return losses
 
     def note_peer_suspect(self, target: TargetId, now_seconds: float) -> None:
-        """Keep suspects off a target on which a peer tries one."""
+        """Send no suspects to a target on which a peer is trying one."""
         group = self._group_by_target.get(target)
         if group is not None:
             group.suspects.peers.note(target, now_seconds)
 
     def take_suspect_targets(self) -> list[TargetId]:
-        """Return the targets that got a suspect since the last call."""
+        """Return the targets that were sent a suspect since the last call."""
         targets = []
         for group in self._groups.values():
             targets += group.suspects.take_tried()
         return targets
 
     def drain(self) -> list[Outcome]:
-        """Take no new work and refuse what still waits, as not run."""
+        """Accept no new requests and refuse the waiting ones as not run."""
         self._is_draining = True
         outcomes: list[Outcome] = []
         for group in self._groups.values():
--- a/lycheepost/decide/throttling.py
+++ b/lycheepost/decide/throttling.py
@@ -1,4 +1,4 @@
-"""When one daemon may send to targets that limit it or have asked for a back-off."""
+"""Applies the rate limits and back-offs that targets ask for."""
 
 import random
 from collections.abc import Mapping
@@ -9,11 +9,11 @@
 
 
 class TargetThrottle:
-    """Holds the targets of one group back, each as it has asked.
+    """Throttles this daemon's requests to the targets of one group.
 
     Args:
         loads: The targets of the group.
-        rng: Draws the moments at which limited targets are sent to.
+        rng: Draws the send times for rate-limited targets.
     """
 
     def __init__(
@@ -30,13 +30,14 @@
         n_daemons: int,
         now_seconds: float,
     ) -> None:
-        """Follow the limit of a target; None where it has none.
+        """Set the rate limit of a target.
 
         Args:
             target: The target.
-            per_second: Requests that it takes from all daemons.
+            per_second: Requests per second that it accepts from all daemons together;
+                None for no limit.
             n_daemons: Daemons that the limit is divided among.
-            now_seconds: The present time.
+            now_seconds: The current time.
         """
         load = self._loads[target]
         if per_second is None:
@@ -51,14 +52,14 @@
             load.rate_limiter.change(per_second, n_daemons, now_seconds)
 
     def back_off(self, target: TargetId, until_seconds: float) -> None:
-        """Send a target nothing until then."""
+        """Send no requests to a target until ``until_seconds``."""
         self._loads[target].backoff_until_seconds = until_seconds
 
     def forget(self, target: TargetId) -> None:
-        """Forget the pace of a target that has no limit, or has left the group."""
+        """Remove the limit of a target that has none any more, or left the group."""
         self._rate_limiters.pop(target, None)
 
     def renew_unused(self, now_seconds: float) -> None:
-        """Draw new moments where the last ones were left unused for too long."""
+        """Draw new send times where the last ones stayed unused for too long."""
         for rate_limiter in self._rate_limiters.values():
             rate_limiter.renew_unused(now_seconds, self._rng)
--- a/lycheepost/decide/versions.py
+++ b/lycheepost/decide/versions.py
@@ -1,11 +1,11 @@
-"""Choose the weights version that a request is served with.
-
-While a model changes from one version to the next, some of its targets hold the
-one and some the other. A request must run on one version from its fingerprint
-to its last token: cached blocks, continuation on another target and the check
-on the engine all go by it. Requests are split by a stable key in the ratio of
-what the targets of each version may take, so that callers who share a prefix
-stay together on warm caches while the split moves over with the rollout.
+"""Chooses the weights version that serves a request.
+
+During a rollout some targets of a model hold the current version and some the next. A
+request must run on one version from its fingerprint to its last token, as cached
+blocks, continuation on another target and the engine's check depend on it. Requests are
+split by a stable key, in proportion to the capacity of the targets of each version, so
+that requests that share a prefix stay together on warm caches while the split follows
+the rollout.
 """
 
 from collections.abc import Iterable
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True)
 class VersionSplit:
-    """The two versions of a model in change.
+    """The two versions of a model during a rollout.
 
     Attributes:
-        following_share: Part of the requests for ``following``, 0 to 1.
+        following_share: Share of the requests for ``following``, 0 to 1.
     """
 
     current: WeightsVersion
@@ -35,7 +35,7 @@
 
 
 class VersionChooser:
-    """Versions by model; made by ``make_version_chooser``."""
+    """Versions by model; created by ``make_version_chooser``."""
 
     def __init__(
         self,
@@ -64,13 +64,13 @@
 def make_version_chooser(
     models: Iterable[Model], targets: Iterable[TargetView]
 ) -> VersionChooser:
-    """Return the chooser for what the targets are now.
+    """Return the chooser for the current targets.
 
     Args:
         models: The models in force.
-        targets: As the scheduler knows them. A target that takes no new work
-            draws no requests to its version: right after a load its own health
-            answer may be a second behind the configuration.
+        targets: The scheduler's targets. Those that take no new work do not count
+            towards their version's capacity: right after a load, a target's health
+            response may be a second behind the configuration.
     """
     capacity: dict[tuple[TargetGroupId, str], float] = {}
     for target in targets:
