--- a/features/decide/decisions.feature
+++ b/features/decide/decisions.feature
@@ -2,25 +2,25 @@
   Virtual time, no sockets: the scheduler alone.
 
   Scenario: A request that cannot be served in time is refused at once
-    A hundred shoppers tap at the same moment before two small engines. Those
-    who could only be served after they have left are told so at once, and when
-    to come back; nobody is held in a queue in vain.
+    A hundred requests arrive at once for two small engines. Those that would be
+    served only after their callers' timeouts are refused at once with a retry-after
+    time instead of being queued.
     Given a scheduler before 2 targets
     When 100 requests of one customer arrive in one moment
     Then some are sent and some are refused at once with a time to come back
     And every time to come back differs from the next
 
   Scenario: What waits is refused well before its caller leaves
-    Both engines hang without failing. A waiting caller is told while it can
-    still do something else, not in the last second of its patience.
+    Both engines hang without failing. Waiting requests are refused while their
+    callers can still go elsewhere, not in the last second of their timeouts.
     Given a scheduler before 2 targets
     When 30 requests of one customer arrive in one moment
     And 10 seconds pass without any first token
-    Then every request was sent, or refused within 75 in 100 of its patience
+    Then every request was sent, or refused within 75 in 100 of its timeout
 
   Scenario: A customer inside its share is served beside one far over it
-    One customer floods the queue; another sends a single request. It is not
-    refused for the other's load, and it is next when a slot frees.
+    One customer floods the queue; another sends a single request. That one is not
+    refused because of the flood, and is among the next to be sent.
     Given a scheduler before 1 targets
     When 60 requests of one customer arrive in one moment
     And a request "modest" of another customer arrives
@@ -46,10 +46,11 @@
       | gone    |
 
   Scenario Outline: Belief never survives <event>
-    An engine restarts empty, and its old event stream arrives late. Requests
-    that relied on the old entries would all wait for prefills nobody predicted.
+    An engine restarts with an empty cache, or its old events arrive late. If old
+    entries were kept, requests would be placed by them and wait for prefill that was
+    not predicted.
     Given a scheduler before 1 targets
-    When requests have filled the belief about target 0
+    When requests have filled the cache estimate of target 0
     And <event> happens to target 0
     Then the same prompt expects no cached tokens there
 
@@ -62,22 +63,22 @@
       | a change of weights            |
 
   Scenario: A gap in cache events costs the entries that may be gone
-    The event stream loses entries. The oldest entries are the ones that the
-    engine evicts first, so as many are dropped as events were lost.
+    Lost events may have been evictions. The engine evicts its oldest entries first,
+    so as many of these are dropped as events were lost.
     Given a scheduler before 1 targets
     When target 0 announces 50 stored levels and then skips 20 events
-    Then the 20 oldest levels are no longer believed and the rest are
+    Then the 20 oldest levels are dropped and the rest are kept
 
   Scenario: Before a large fleet a request finds a target beyond its candidates
-    All candidates of a prefix have already failed a request. Before hundreds of
-    others it must not be refused for want of a target.
+    A request has failed on all candidates of its prefix. It must not be refused
+    for lack of a target while hundreds of others could serve it.
     Given a scheduler before 200 targets
     When a request has failed on every target but the last
     Then it is sent to the last
 
   Scenario: A plain service is shared fairly up to its concurrency limit
-    Print orders carry no tokens. One customer floods the service; another's
-    single order must still be among the next to go out.
+    Requests of plain services have no tokens. One customer floods the service;
+    another's single request must still be among the next to be sent.
     Given a scheduler before 1 targets
     When 30 orders of one customer and one "modest" of another arrive
     Then 8 are sent and none is refused for the load of others
--- a/features/decide/fetched.feature
+++ b/features/decide/fetched.feature
@@ -1,27 +1,27 @@
 Feature: Prompts whose parts a KV store keeps go where there is room
-  Pure decisions: no network and no clock. Engines fetch a token's KV cache in a small
-  part of the time in which they read it.
+  Pure decisions: no network and no clock. Fetching a token's KV cache takes a small
+  part of the time of its prefill.
 
   Scenario: A burst that shares one long part spreads over the targets
-    One template gets the whole burst. Its target reads prompts in pieces between the
-    tokens of its streams, so that whoever is served there pauses for half a second,
-    while the other targets could fetch the template and have nothing to do.
+    If the target that caches the template gets the whole burst, prefill delays its
+    streams by half a second, while the other targets are idle and could fetch the
+    template.
     Given 6 targets, one of which caches a template that the store keeps
     When 24 requests of the template come within 0.2 s
     Then no target got more than 6 of them
 
   Scenario: A template that no store keeps still goes to its target
-    Reading it anew takes longer than the wait at the target that caches it.
+    Recomputing it takes longer than the wait at the target that caches it.
     Given 6 targets, one of which caches a template that no store keeps
     When 2 requests of the template come within 0.2 s
     Then the target that caches it got 2 of them
 
   Scenario: What is fetched is not counted as waiting to be read
-    A target was taken for full by what it never has to read, and requests waited for
-    it although its engine was idle.
+    If fetched tokens counted as waiting for prefill, a target would look full, and
+    requests would wait for it although its engine is idle.
     Given 1 target that caches nothing
     When a request comes of which the store keeps all but 500 tokens
-    Then 500 tokens wait to be read at the target
+    Then 500 tokens wait for prefill at the target
 
   Scenario Outline: A fetch <from> takes <us> us a token
     Given a store of <store> Mbit/s in zone a for engines of <engine> Mbit/s and 100000 bytes a token
--- a/features/decide/rollout.feature
+++ b/features/decide/rollout.feature
@@ -2,17 +2,17 @@
   Pure decisions: no network and no clock.
 
   Scenario: Weights change a few targets at a time, the least busy first
-    A version is named while all targets serve. If all changed at once nobody would
+    A new version is named while all targets serve. If all changed at once, none would
     serve; one after the other would take six times as long as one change.
     Given 6 targets with version 1
     When version 2 is named
     Then the 2 targets with the fewest requests are ordered to version 2
 
   Scenario: A version that was overtaken is never loaded
-    Version 2 is being put into two targets when version 3 is named.
+    Two targets are loading version 2 when version 3 is named.
     Given 6 targets with version 1 of which 2 are changing
     When version 3 is named
-    Then nobody is ordered
+    Then no target is ordered
     When the changing targets are done with version 2
     Then the 2 targets with the fewest requests are ordered to version 3
 
@@ -22,10 +22,10 @@
     Then the 1 targets with the fewest requests are ordered to version 2
 
   Scenario Outline: A target is ordered once its runs have ended, or after a while
-    A target gets no new work before its order. What its runs make after it is worth
-    nothing, and each of them pauses; but all changes after its own wait with it, and
-    the requests of meanwhile begin on the old weights of those targets.
-    Given a target that has been left alone for <alone> s with <running> runs
+    A target is drained before its order, as the change pauses its runs and makes their
+    further output worthless. But draining delays all later changes, and meanwhile
+    requests begin on the old weights of those targets.
+    Given a target that has been drained for <alone> s with <running> runs
     When <old> of 9 targets serve on old weights
     Then it is <outcome>
 
@@ -41,31 +41,31 @@
       | 0.65  | 3       | 0   | ordered     |
 
   Scenario Outline: A target whose requests end as <ending> among <n> others that are well
-    Its health answer is good, so only its requests show the trouble.
-    Given <n> targets that are well
+    Its health response is good; only the results of its requests show the fault.
+    Given <n> healthy targets
     When one more ends <count> requests as <ending>
     Then the odd one is <outcome>
 
     Examples:
       | n | count | ending      | outcome     |
       | 5 | 1     | BAD         | used        |
-      | 5 | 3     | BAD         | left alone  |
-      | 5 | 1     | UNREACHABLE | left alone  |
+      | 5 | 3     | BAD         | excluded    |
+      | 5 | 1     | UNREACHABLE | excluded    |
 
   Scenario: A service that fails everywhere keeps its targets
-    Every target fails a third of its requests. Leaving them all alone would turn a
-    bad service into none.
+    Every target fails a third of its requests. Excluding all of them would turn a
+    degraded service into an outage.
     When each of 4 targets ends 3 requests as BAD and 6 as GOOD
-    Then none of them is left alone
+    Then none of them is excluded
 
   Scenario: Targets that are all unreachable are still tried
-    The daemon's own link is down. With no target left it would refuse everything
-    after its link is back.
+    The daemon's own link is down. If it excluded all targets, it would still refuse
+    everything after the link is back.
     When each of 4 targets ends 1 requests as UNREACHABLE and 0 as GOOD
-    Then none of them is left alone
+    Then none of them is excluded
 
   Scenario: A target that recovers is used again, one that does not less and less
-    Given 5 targets that are well
+    Given 5 healthy targets
     When one more is unreachable whenever it is tried for 30 s
     Then tries number at most 12
     When it answers again
--- a/features/decide/routed.feature
+++ b/features/decide/routed.feature
@@ -4,7 +4,7 @@
   Scenario Outline: <path> at <host> with key <key> takes <outcome>
     Given routes that share prefixes, one of them public, for two customers
     When a request for <path> at <host> comes with key <key>
-    Then its way is <outcome>
+    Then its route is <outcome>
 
     Examples:
       | host | path      | key     | outcome      |
@@ -30,8 +30,8 @@
     Then it goes to one of the five
 
   Scenario Outline: A key rests on a confirmation that is <age> s old: <outcome>
-    A key was taken away while this daemon could not reach the store. Every
-    request that it still served with that key after the bound would be a breach.
+    A key was revoked while this daemon could not reach the store. After the bound, no
+    request with that key may be served.
     When keys must be out of use after 5 s and the last confirmation is <age> s old
     Then a keyed request is <outcome>
 
@@ -44,8 +44,9 @@
       | never | refused |
 
   Scenario Outline: A <kind> request with <runs> runs of <most> whose send ended as <end>: <step>
-    What certainly did not run may always go on; what may have run only where its
-    route lets it be repeated. Nothing that may have run is called "not run".
+    A request that certainly did not run may always be retried; one that may have run
+    only if its route allows repeats. One that may have run is never reported as "not
+    run".
     Given a <kind> route with at most <most> runs
     When a request that has <runs> runs besides ends as <end> with <left> s left
     Then the next step is <step>
@@ -68,16 +69,16 @@
       | resumable      | 2    | 1    | cut      | 1    | CUT_OFF   |
 
   Scenario: A request that nobody takes is refused after a few sends
-    All targets are full and say so. Asking them round and round would only add to
+    All targets refuse because they are full. Unbounded attempts would only add to
     their load.
     Given an idempotent route with at most 2 runs
-    When every send of a request ends as not_run
-    Then it is refused as not run after 5 sends
+    When every attempt of a request ends as not_run
+    Then it is refused as not run after 5 attempts
 
   Scenario Outline: A silent target of a <kind> request with <left> s left is left after <seconds> s
     Given a <kind> route with at most <most> runs
     When a request has <left> s left and 0 runs
-    Then a silent target is left after <seconds> s
+    Then a silent target is given up after <seconds> s
 
     Examples:
       | kind           | most | left | seconds |
--- a/features/decide/steps/backlog_steps.py
+++ b/features/decide/steps/backlog_steps.py
@@ -10,10 +10,10 @@
 
 
 class Engine:
-    """Reads the prompts that it was sent, one after the other.
+    """Prefills its prompts one after the other.
 
     Attributes:
-        waiting: Requests and the tokens of each that are left to read.
+        waiting: Requests, their tokens left to prefill, and when they arrive.
         answers: Requests and when their first tokens arrive.
     """
 
@@ -40,7 +40,8 @@
 
 
 @given(
-    "a target that reads {speed:d} tokens a second, {away:d} ms away, told to 1 peer"
+    "a target that prefills {speed:d} tokens a second, {away:d} ms away, "
+    "reported to 1 peer"
 )
 def step_target(context, speed, away):
     context.engine = Engine(speed, away / 1000.0)
@@ -88,7 +89,7 @@
 
 
 def nothing_at(desk):
-    """Return the word of a peer that has nothing at the target."""
+    """Return the report of a peer that has no load at the target."""
     return desk.views[0].target, NOTHING, desk.now_seconds
 
 
@@ -98,7 +99,7 @@
     assert 100 * engine.n_idle <= share * engine.n_steps, engine.n_idle
 
 
-@then("at most {most:d} tokens were sent and not read in the mean")
+@then("on average at most {most:d} tokens were sent and not yet prefilled")
 def step_unread(context, most):
     unread = context.engine.unread_tokens
     assert sum(unread) / len(unread) <= most, sum(unread) / len(unread)
@@ -109,7 +110,7 @@
     assert 0 < context.n_tokens <= most, context.n_tokens
 
 
-@given("a backlog of {sent:d} tokens at a speed of {speed:d} tokens a second")
+@given("a backlog of {sent:d} tokens at a throughput of {speed:d} tokens a second")
 def step_backlog(context, sent, speed):
     context.backlog, context.token_seconds = Backlog(), 1.0 / speed
     context.sent_tokens = sent
--- a/features/decide/steps/common.py
+++ b/features/decide/steps/common.py
@@ -1,4 +1,4 @@
-"""Requests, targets and calls for features of the decisions."""
+"""Requests, targets and a scheduler driver for features of the decisions."""
 
 from lycheepost.core.hashing import fingerprint_body
 from lycheepost.core.ids import (
@@ -71,7 +71,7 @@
 
 
 class Desk:
-    """A scheduler, its clock, and where each request went."""
+    """Drives a scheduler with virtual time and records where each request went."""
 
     def __init__(self, n_targets, **settings):
         self.now_seconds = 100.0
--- a/features/decide/steps/decisions.py
+++ b/features/decide/steps/decisions.py
@@ -52,7 +52,7 @@
             desk.ended.setdefault(request, desk.now_seconds)
 
 
-@then("every request was sent, or refused within {percent:d} in 100 of its patience")
+@then("every request was sent, or refused within {percent:d} in 100 of its timeout")
 def check_not_held(context, percent):
     desk = context.desk
     assert set(desk.works) == set(desk.sent) | set(desk.refused)
@@ -118,15 +118,15 @@
     assert TargetId("target-0") not in context.desk.sent.values()
 
 
-@when("requests have filled the belief about target 0")
-def fill_belief(context):
+@when("requests have filled the cache estimate of target 0")
+def fill_cache_estimate(context):
     context.desk.arrive("first", body="same")
     context.work = context.desk.works["first"]
-    assert believed(context) == context.work.prompt_tokens
+    assert expected_cached_tokens(context) == context.work.prompt_tokens
 
 
-def believed(context):
-    """Return what the next dispatch of the same prompt expects to be cached."""
+def expected_cached_tokens(context):
+    """Return the cached tokens that the next dispatch of the same prompt expects."""
     desk = context.desk
     work = replace(context.work, request=f"again-{desk.now_seconds}")
     desk.now_seconds += 1.0
@@ -186,8 +186,8 @@
 
 
 @then("the same prompt expects no cached tokens there")
-def check_no_belief(context):
-    assert believed(context) == 0
+def check_no_cached_tokens(context):
+    assert expected_cached_tokens(context) == 0
 
 
 @when("target 0 announces {n_stored:d} stored levels and then skips {n_lost:d} events")
@@ -198,7 +198,7 @@
     context.cache_estimate.observe(Incarnation("boot"), events)
 
 
-@then("the {count:d} oldest levels are no longer believed and the rest are")
+@then("the {count:d} oldest levels are dropped and the rest are kept")
 def check_gap(context, count):
     found = [
         digest
--- a/features/decide/steps/fetched_steps.py
+++ b/features/decide/steps/fetched_steps.py
@@ -100,7 +100,7 @@
     arrive(context, 0, n, TEMPLATE_TOKENS)
 
 
-@then("{n:d} tokens wait to be read at the target")
+@then("{n:d} tokens wait for prefill at the target")
 def step_wait(context, n):
     found = context.desk.scheduler.under_way()[context.holder]
     assert found.queued_tokens == n, found
--- a/features/decide/steps/kvcopies_steps.py
+++ b/features/decide/steps/kvcopies_steps.py
@@ -49,7 +49,7 @@
     context.copies = KvStoreContents()
 
 
-@when("{n:d} prompts come in 10 s, and the store tells 0.6 s late what it was sent")
+@when("{n:d} prompts come in 10 s, and the store reports 0.6 s late what it was sent")
 def step_many(context, n):
     rng = random.Random(1)
     late, number, context.n_sent, context.kept = [], 0, 0, set()
@@ -86,7 +86,7 @@
     context.copies.observe(STORE, BOOT, (stored(1, context.level),))
 
 
-@given("a store that tells nothing")
+@given("a store that reports no events")
 def step_silent(context):
     context.copies, context.n_sent = KvStoreContents(), 0
 
--- a/features/decide/steps/latework_steps.py
+++ b/features/decide/steps/latework_steps.py
@@ -11,12 +11,12 @@
 from lycheepost.decide.records import FinishKind
 
 STEP_SECONDS = 0.02
-PATIENCE_SECONDS = 4.0
+TIMEOUT_SECONDS = 4.0
 PROMPT_TOKENS = 10_000
 
 
-class Line:
-    """Targets that read one prompt after the other, and when each was read."""
+class SimulatedFleet:
+    """Targets that prefill one prompt after the other, and the first-token waits."""
 
     def __init__(self, n_targets, rate, objective_seconds):
         self.desk = Desk(
@@ -30,25 +30,25 @@
         self.seconds_each = 1.0 / rate
         self.reading = {TargetId(f"target-{i}"): [] for i in range(n_targets)}
         self.left = dict.fromkeys(self.reading, self.seconds_each)
-        self.seen, self.waits, self.n_asked = set(), [], 0
+        self.seen, self.waits, self.n_arrived = set(), [], 0
         self.rng = random.Random(3)
 
     def run(self, per_second, seconds):
         for _ in range(round(seconds / STEP_SECONDS)):
             if self.rng.random() < per_second * STEP_SECONDS:
-                self.ask()
-            self.read()
+                self.arrive()
+            self.prefill()
             self.desk.wait(STEP_SECONDS)
             self.note_sent()
 
-    def ask(self):
-        self.n_asked += 1
+    def arrive(self):
+        self.n_arrived += 1
         self.desk.arrive(
-            f"request-{self.n_asked}",
+            f"request-{self.n_arrived}",
             levels=(),
             prompt_tokens=PROMPT_TOKENS,
-            customer=f"customer-{self.n_asked % 5}",
-            first_token_timeout_seconds=PATIENCE_SECONDS,
+            customer=f"customer-{self.n_arrived % 5}",
+            first_token_timeout_seconds=TIMEOUT_SECONDS,
             objective_seconds=self.objective_seconds,
         )
         self.note_sent()
@@ -58,7 +58,7 @@
             self.seen.add(name)
             self.reading[self.desk.sent[name]].append(name)
 
-    def read(self):
+    def prefill(self):
         for target, waiting in self.reading.items():
             if not waiting:
                 continue
@@ -78,42 +78,42 @@
 
 
 @given(
-    "{n:d} targets that each read {rate:d} prompts a second, an objective of {s:g} s"
+    "{n:d} targets that each prefill {rate:d} prompts a second, an objective of {s:g} s"
 )
 def step_targets(context, n, rate, s):
     context.objective = s
-    context.line = Line(n, rate, s)
-    context.by_arrival = Line(n, rate, float("inf"))
+    context.fleet = SimulatedFleet(n, rate, s)
+    context.by_arrival = SimulatedFleet(n, rate, float("inf"))
 
 
 @when("{n:d} requests a second come for {s:d} s, then {m:d} a second for {t:d} s")
 def step_come(context, n, s, m, t):
-    for line in (context.line, context.by_arrival):
-        line.run(n, s)
-        line.run(m, t)
-        line.run(0, PATIENCE_SECONDS)
+    for fleet in (context.fleet, context.by_arrival):
+        fleet.run(n, s)
+        fleet.run(m, t)
+        fleet.run(0, TIMEOUT_SECONDS)
 
 
 @then("of 100 requests at least {least:d} are on time, {more:d} more than by arrival")
 def step_on_time(context, least, more):
     share, by_arrival = (
-        100 * line.n_on_time(context.objective) / line.n_asked
-        for line in (context.line, context.by_arrival)
+        100 * fleet.n_on_time(context.objective) / fleet.n_arrived
+        for fleet in (context.fleet, context.by_arrival)
     )
     assert share >= least and share >= by_arrival + more, (share, by_arrival)
 
 
 @then("no fewer are served than by arrival, but for {n:d} in 100")
 def step_served(context, n):
-    served, by_arrival = (len(x.waits) for x in (context.line, context.by_arrival))
+    served, by_arrival = (len(x.waits) for x in (context.fleet, context.by_arrival))
     assert served >= by_arrival * (1 - n / 100), (served, by_arrival)
 
 
 @then("at least {n:d} in 100 of what was served was late")
 def step_some_late(context, n):
-    line = context.line
-    n_late = len(line.waits) - line.n_on_time(context.objective)
-    assert 100 * n_late >= n * len(line.waits), (n_late, len(line.waits))
+    fleet = context.fleet
+    n_late = len(fleet.waits) - fleet.n_on_time(context.objective)
+    assert 100 * n_late >= n * len(fleet.waits), (n_late, len(fleet.waits))
 
 
 @given("requests that are late with {a:d} s, {b:d} s and {c:d} s left")
@@ -124,7 +124,7 @@
         context.late.add(queue.make_waiting(work, 1.0, 0.0))
 
 
-@then("they go out as those with {a:d} s, {b:d} s and {c:d} s left")
+@then("they are dispatched as those with {a:d} s, {b:d} s and {c:d} s left")
 def step_order(context, a, b, c):
     found = [waiting.work.request for waiting in context.late.first(3)]
     assert found == [f"left-{left}" for left in (a, b, c)], found
--- a/features/decide/steps/rollout_steps.py
+++ b/features/decide/steps/rollout_steps.py
@@ -56,14 +56,14 @@
     assert {order.version for order in orders} == {str(version)}
 
 
-@then("nobody is ordered")
-def step_nobody(context):
+@then("no target is ordered")
+def step_no_order(context):
     assert next_orders(MODEL, context.wanted, context.targets) == ()
 
 
-@given("a target that has been left alone for {alone:g} s with {running:d} runs")
-def step_alone(context, alone, running):
-    context.alone, context.running = alone, running
+@given("a target that has been drained for {drained:g} s with {running:d} runs")
+def step_drained(context, drained, running):
+    context.drained, context.running = drained, running
 
 
 @when("{n_old:d} of {n:d} targets serve on old weights")
@@ -73,7 +73,7 @@
         replace(item, version=1 if index < n_old else 2)
         for index, item in enumerate(targets)
     ]
-    context.is_due = is_due(context.alone, context.running, old_share(2, targets))
+    context.is_due = is_due(context.drained, context.running, old_share(2, targets))
 
 
 @then("it is ordered")
@@ -86,8 +86,8 @@
     assert not context.is_due
 
 
-@given("{n:d} targets that are well")
-def step_well(context, n):
+@given("{n:d} healthy targets")
+def step_healthy(context, n):
     context.health = TargetHealth()
     context.names = [TargetId(f"t{i}") for i in range(n)] + [ODD]
     context.now_seconds = 0.0
@@ -105,7 +105,7 @@
 @then("the odd one is {outcome}")
 def step_outcome(context, outcome):
     resting = context.health.resting(context.names, 0.01)
-    assert resting == (frozenset({ODD}) if outcome == "left alone" else frozenset())
+    assert resting == (frozenset({ODD}) if outcome == "excluded" else frozenset())
 
 
 @when("each of {n:d} targets ends {bad:d} requests as {ending} and {good:d} as GOOD")
@@ -121,7 +121,7 @@
             context.health.observe(name, Ending[ending], 0.0)
 
 
-@then("none of them is left alone")
+@then("none of them is excluded")
 def step_none(context):
     assert context.health.resting(context.names, 0.01) == frozenset()
 
--- a/features/decide/steps/routed.py
+++ b/features/decide/steps/routed.py
@@ -58,17 +58,17 @@
 
 @when("a request for {path} at {host} comes with key {key}")
 def step_request(context, path, host, key):
-    context.way = match_route(
+    context.found = match_route(
         context.routes, host, path, None if key == "none" else key
     )
 
 
-@then("its way is {outcome}")
-def step_way(context, outcome):
-    way = context.way
-    found = way.name if not isinstance(way, RouteMatch) else way.route.name
-    if isinstance(way, RouteMatch) and way.is_keyed:
-        found += f" as {way.holder.customer}"
+@then("its route is {outcome}")
+def step_route(context, outcome):
+    match = context.found
+    found = match.name if not isinstance(match, RouteMatch) else match.route.name
+    if isinstance(match, RouteMatch) and match.is_keyed:
+        found += f" as {match.holder.customer}"
     assert found == outcome, found
 
 
@@ -83,7 +83,7 @@
 
 @given("a route with five groups of weight 33.3 and one of 0")
 def step_nought(context):
-    # Their sum is rounded up, so taking away one after the other leaves nought.
+    # Their sum is rounded up, so subtracting one after the other leaves 0.
     shares = (GroupShare(TargetGroupId("a"), 33.3),) * 5
     shares += (GroupShare(TargetGroupId("b"), 0.0),)
     context.route = replace(make_route("r", "/"), shares=shares)
@@ -145,7 +145,7 @@
     assert context.step is Step[step], context.step
 
 
-@when("every send of a request ends as {end}")
+@when("every attempt of a request ends as {end}")
 def step_every(context, end):
     end = SendEnd(end)
     sends = Sends()
@@ -156,7 +156,7 @@
     context.sends, context.step = sends, step
 
 
-@then("it is refused as not run after {n:d} sends")
+@then("it is refused as not run after {n:d} attempts")
 def step_refused(context, n):
     assert context.step is Step.REFUSE
     assert context.sends == Sends(n, 0), context.sends
@@ -167,6 +167,6 @@
     context.silence = silence_seconds(context.route, Sends(runs, runs), left)
 
 
-@then("a silent target is left after {seconds:g} s")
+@then("a silent target is given up after {seconds:g} s")
 def step_silence(context, seconds):
     assert abs(context.silence - seconds) < 1e-9, context.silence
--- a/lycheepost/decide/group.py
+++ b/lycheepost/decide/group.py
@@ -80,8 +80,8 @@
 of a daemon's traffic, in case nothing collects them."""
 
 INSIDE_TIMEOUT_SHARE = 0.7
-"""Share of its first-token timeout that a customer inside its fair share may wait: it is
-refused only if the engines are too slow. The rest covers prediction errors."""
+"""Share of its first-token timeout that a customer inside its fair share may wait: it
+is refused only if the engines are too slow. The rest covers prediction errors."""
 
 
 def _is_warm(work: Work, choice: Choice) -> bool:
@@ -342,7 +342,7 @@
             outcome = self._try_waiting(waiting, now_seconds, waiting_ahead)
             if outcome is not None:
                 outcomes.append(outcome)
-                self.late.count_other(waiting.cost_seconds)
+                self.late.count_on_time(waiting.cost_seconds)
         return outcomes + self._dispatch_late(
             SCANNED_REQUESTS, now_seconds, waiting_ahead
         )
--- a/lycheepost/decide/latework.py
+++ b/lycheepost/decide/latework.py
@@ -57,7 +57,7 @@
             return False
         return self._credit_seconds >= self._waiting[0].cost_seconds
 
-    def count_other(self, cost_seconds: float) -> None:
+    def count_on_time(self, cost_seconds: float) -> None:
         """Count work that was dispatched before the late requests."""
         if self._waiting:
             self._credit_seconds += LATE_SHARE * cost_seconds
