--- a/lycheepost/decide/admission.py
+++ b/lycheepost/decide/admission.py
@@ -13,11 +13,11 @@
 from lycheepost.decide.records import RefusalReason, Work
 from lycheepost.decide.settings import SchedulerSettings
 
-RATE_SECONDS = 5.0
+RATE_TIME_CONSTANT_SECONDS = 5.0
 """Time constant of the measured service rate: long enough to average over some tens of
 requests, short enough to follow a crash within a few seconds."""
 
-MEASURE_SECONDS = 1.0
+MEASURE_INTERVAL_SECONDS = 1.0
 
 MIN_PREDICTED_SECONDS = 0.1
 BIAS_GAIN = 0.05
@@ -63,11 +63,11 @@
             return
         self._was_empty = self._was_empty or not is_backlogged
         elapsed = now_seconds - started_seconds
-        if elapsed < MEASURE_SECONDS:
+        if elapsed < MEASURE_INTERVAL_SECONDS:
             return
         measured = self._cost_seconds / elapsed
         if measured > self._rate or not self._was_empty:
-            self._rate += elapsed / RATE_SECONDS * (measured - self._rate)
+            self._rate += elapsed / RATE_TIME_CONSTANT_SECONDS * (measured - self._rate)
         self._start(now_seconds)
 
     def _start(self, now_seconds: float) -> None:
--- a/lycheepost/decide/cacheestimate.py
+++ b/lycheepost/decide/cacheestimate.py
@@ -113,7 +113,7 @@
         self._entries.clear()
         self._tokens = 0
 
-    def follow(self, incarnation: Incarnation) -> bool:
+    def check_incarnation(self, incarnation: Incarnation) -> bool:
         """Compare the incarnation of a message with the current one.
 
         A late message of an old incarnation is rejected: it would add blocks that no
@@ -137,7 +137,7 @@
 
     def observe(self, incarnation: Incarnation, events: Sequence[CacheEvent]) -> None:
         """Apply cache events, which may be late and have gaps."""
-        if not self.follow(incarnation):
+        if not self.check_incarnation(incarnation):
             return
         for event in events:
             self._observe_one(event)
--- a/lycheepost/decide/concurrency.py
+++ b/lycheepost/decide/concurrency.py
@@ -21,8 +21,8 @@
 idle before the window has adapted."""
 
 GROWTH_TOKENS = 256
-SHRINK = 0.8
-SHRINK_SECONDS = 0.25
+SHRINK_FACTOR = 0.8
+SHRINK_INTERVAL_SECONDS = 0.25
 """Additive increase and multiplicative decrease, with one decrease per burst of late
 first tokens: the windows of several daemons converge to equal shares."""
 
@@ -53,7 +53,7 @@
             if is_limiting:
                 self.tokens = min(MAX_TOKENS, self.tokens + GROWTH_TOKENS)
             return
-        if now_seconds - self.shrunk_seconds < SHRINK_SECONDS:
+        if now_seconds - self.shrunk_seconds < SHRINK_INTERVAL_SECONDS:
             return
         self.shrunk_seconds = now_seconds
-        self.tokens = max(MIN_TOKENS, self.tokens * SHRINK)
+        self.tokens = max(MIN_TOKENS, self.tokens * SHRINK_FACTOR)
--- a/lycheepost/decide/group.py
+++ b/lycheepost/decide/group.py
@@ -61,7 +61,7 @@
 engines spend their time recomputing. When too few new batches are admitted, the queue
 runs empty and the pressure falls."""
 
-COLD_LEAD = -4.0
+MAX_COLD_LEAD = -4.0
 """Lead over the fair order, in mean request costs, below which a customer's new batches
 are admitted under pressure, so that every customer is served eventually."""
 
@@ -70,7 +70,7 @@
 there can no longer be ordered fairly or refused early, but an engine without waiting
 work idles between dispatches."""
 
-CROWDED_SHARE = 0.5
+CROWDED_FULL_SHARE = 0.5
 """Share of full targets from which the group counts as crowded. Below it the queue
 waits for a few targets, such as the owners of a hot prefix, and refusing new work would
 leave the others idle."""
@@ -155,14 +155,14 @@
         self.shares.observe(work.customer, self._usual_cost_seconds(work), now_seconds)
         if choice.can_take and not len(self.queue):
             return [self._dispatch(work, choice, cost, now_seconds)]
-        return self._queue_up(work, choice, cost, now_seconds)
+        return self._enqueue(work, choice, cost, now_seconds)
 
     def has_capacity_for(self, work: Work, now_seconds: float) -> bool:
         """Return whether a target that has not failed ``work`` has capacity for it."""
         choice = self._choose(work, now_seconds, self._awaited)
         return choice is not None and choice.can_take
 
-    def _queue_up(
+    def _enqueue(
         self, work: Work, choice: Choice, cost_seconds: float, now_seconds: float
     ) -> list[Outcome]:
         budget = self._budget_seconds(work, choice, now_seconds)
@@ -235,9 +235,12 @@
         if self.shares.is_inside(work.customer):
             return work.first_token_timeout_seconds * INSIDE_TIMEOUT_SHARE
         budget = budget_seconds(work, self._settings)
-        if _is_warm(work, choice) or self._lead_seconds(work) < COLD_LEAD:
+        if _is_warm(work, choice) or self._lead_seconds(work) < MAX_COLD_LEAD:
             return budget
-        if choice.can_take and self.placement.full_share(now_seconds) < CROWDED_SHARE:
+        if (
+            choice.can_take
+            and self.placement.full_share(now_seconds) < CROWDED_FULL_SHARE
+        ):
             return budget
         return budget * (1.0 - COLD_DISCOUNT * self.placement.pressure)
 
--- a/lycheepost/decide/hotprefixes.py
+++ b/lycheepost/decide/hotprefixes.py
@@ -12,10 +12,10 @@
 from lycheepost.core.ids import ModelId, PrefixDigest, WeightsVersion
 from lycheepost.decide.records import PrefixLevel
 
-KEPT_PREFIXES = 512
+MAX_PREFIXES = 512
 """About 100 KB. A target is warmed with a few dozen; the others keep the counts of
 those accurate."""
-_HALVE_AFTER = 20_000
+_HALVE_AFTER_REQUESTS = 20_000
 """Requests; a little over three minutes at 100 per second."""
 
 
@@ -52,7 +52,7 @@
             prefix = HotPrefix(model, weights_version, cache_salt, level.digest)
             self._count(prefix)
         self._n_noted += 1
-        if self._n_noted >= _HALVE_AFTER:
+        if self._n_noted >= _HALVE_AFTER_REQUESTS:
             self._halve()
 
     def top(
@@ -72,7 +72,7 @@
             self._counts[prefix] += 1
             return
         inherited = 0
-        if len(self._counts) >= KEPT_PREFIXES:
+        if len(self._counts) >= MAX_PREFIXES:
             rarest = min(self._counts, key=self._counts.__getitem__)
             inherited = self._counts.pop(rarest)
         self._counts[prefix] = inherited + 1
--- a/lycheepost/decide/load.py
+++ b/lycheepost/decide/load.py
@@ -27,7 +27,7 @@
 where it can still be reordered, sent to the target that caches its prefix, or refused
 in time."""
 
-REPORT_SECONDS = 10.0
+MAX_REPORT_AGE_SECONDS = 10.0
 """Older reports are ignored."""
 
 
@@ -98,7 +98,7 @@
     def replace_view(self, view: TargetView) -> None:
         """Update the view; a new incarnation or weights version has an empty cache."""
         if view.incarnation != self.view.incarnation:
-            self.cache_estimate.follow(view.incarnation)
+            self.cache_estimate.check_incarnation(view.incarnation)
             self.peers_tokens = 0.0
             self.peers_running = 0.0
             self.slowness = Slowness()
@@ -114,8 +114,8 @@
         if self.rate_limiter is not None:
             self.rate_limiter.note_sent(now_seconds)
         self._count_queued(entry, 1)
-        self._remember(now_seconds)
-        self._follow_sent(now_seconds)
+        self._record_own_load(now_seconds)
+        self._update_backlog(now_seconds)
 
     def first_token(self, entry: InFlight, now_seconds: float) -> None:
         """Count the end of a prefill."""
@@ -123,8 +123,8 @@
             return
         entry.has_first_token = True
         self._count_queued(entry, -1)
-        self._remember(now_seconds)
-        self._follow_sent(now_seconds)
+        self._record_own_load(now_seconds)
+        self._update_backlog(now_seconds)
 
     def end(self, request: RequestId, now_seconds: float) -> InFlight | None:
         """Stop counting a request."""
@@ -133,15 +133,15 @@
             return None
         if not entry.has_first_token:
             self._count_queued(entry, -1)
-        self._remember(now_seconds)
-        self._follow_sent(now_seconds)
+        self._record_own_load(now_seconds)
+        self._update_backlog(now_seconds)
         return entry
 
     def _count_queued(self, entry: InFlight, sign: int) -> None:
         self.queued_tokens += sign * entry.uncached_tokens
         self.queued_prompt_tokens += sign * entry.work.prompt_tokens
 
-    def _follow_sent(self, now_seconds: float) -> None:
+    def _update_backlog(self, now_seconds: float) -> None:
         sent_tokens = self.queued_tokens + self._known_peer_load(now_seconds)[0]
         self.backlog.set_sent(
             sent_tokens, self._token_seconds(now_seconds), now_seconds
@@ -152,11 +152,11 @@
 
     def _known_peer_load(self, now_seconds: float) -> tuple[float, float]:
         """Return the peers' tokens and requests there; zero if the report is old."""
-        if now_seconds - self.reported_seconds > REPORT_SECONDS:
+        if now_seconds - self.reported_seconds > MAX_REPORT_AGE_SECONDS:
             return 0.0, 0.0
         return self.peers_tokens, self.peers_running
 
-    def _remember(self, now_seconds: float) -> None:
+    def _record_own_load(self, now_seconds: float) -> None:
         own = OwnLoad(now_seconds, self.queued_prompt_tokens, len(self.in_flight))
         self.history.append(own)
         # Keep the newest entry before the horizon: it is valid until the next one.
@@ -164,7 +164,7 @@
         while len(self.history) > 1 and self.history[1].at_seconds < horizon:
             self.history.popleft()
 
-    def _own_at(self, at_seconds: float) -> OwnLoad:
+    def _own_load_at(self, at_seconds: float) -> OwnLoad:
         for own in reversed(self.history):
             if own.at_seconds <= at_seconds:
                 return own
@@ -179,9 +179,9 @@
         """
         if report.measured_seconds <= self.reported_seconds:
             return
-        if not self.cache_estimate.follow(report.incarnation):
+        if not self.cache_estimate.check_incarnation(report.incarnation):
             return
-        own = self._own_at(report.measured_seconds)
+        own = self._own_load_at(report.measured_seconds)
         self.reported_seconds = report.measured_seconds
         n_requests = report.n_running + report.n_queued
         others_prompts = report.queued_prompt_tokens - own.queued_prompt_tokens
@@ -191,7 +191,7 @@
         # time it arrives.
         self.peers_tokens = (self.peers_tokens + peers_tokens) / 2
         self.peers_running = (self.peers_running + peers_running) / 2
-        self._follow_sent(report.measured_seconds)
+        self._update_backlog(report.measured_seconds)
 
     def set_peer_load(self, tokens: int, n_running: int, now_seconds: float) -> None:
         """Set the load that peers report at this target."""
@@ -199,7 +199,7 @@
         self.peers_running = float(n_running)
         self.reported_seconds = now_seconds
         self.is_shared = True
-        self._follow_sent(now_seconds)
+        self._update_backlog(now_seconds)
 
     def estimate(self, now_seconds: float) -> tuple[float, float]:
         """Return the tokens without a first token, and the requests, of all daemons."""
--- a/lycheepost/decide/placement.py
+++ b/lycheepost/decide/placement.py
@@ -28,11 +28,11 @@
 """Groups of up to this size are scored completely; in larger ones only candidates are,
 so that a decision costs the same with 100 and with 12,000 servers."""
 
-OWNER_SECONDS = 0.01
+MAX_STEP_SECONDS = 0.01
 """Maximum cost of a step away from the first owner: below what a caller notices, above
 the noise of the predictions."""
 
-TIE_SECONDS = 0.0003
+MIN_STEP_SECONDS = 0.0003
 """Minimum cost of a step. Even where nothing is shared, ties between equally good
 targets are broken in an order that differs from request to request."""
 
@@ -41,7 +41,7 @@
 wait. It takes engine time from a request that is then refused, which outweighs a
 shorter wait of this request."""
 
-OWNER_STEPS = 4
+MAX_OWNER_STEPS = 4
 """All targets beyond this many steps have the same cost."""
 
 RANDOM_CANDIDATES = 2
@@ -200,7 +200,7 @@
             waiting_ahead: Requests ahead in the queue, by the target they wait for.
             ignores_pressure: Leave out the price of recomputation under pressure.
         """
-        owners = self._ring.owners(_owner_key(work), OWNER_STEPS)
+        owners = self._ring.owners(_owner_key(work), MAX_OWNER_STEPS)
         usable = _usable(self._candidates(work, owners), work, avoid)
         free = _not_throttled(usable, now_seconds)
         if not free:
@@ -211,7 +211,7 @@
         if not usable:
             return None
         chosen_from = free or usable
-        return self._lowest(
+        return self._cheapest(
             chosen_from, owners, now_seconds, waiting_ahead, work, ignores_pressure
         )
 
@@ -222,9 +222,11 @@
         plain service, goes where the wait is shortest, not where its hash points.
         """
         saved_seconds = _shared_tokens(work) * self.rates.token_seconds
-        return min(OWNER_SECONDS, max(TIE_SECONDS, saved_seconds / OWNER_STEPS))
+        return min(
+            MAX_STEP_SECONDS, max(MIN_STEP_SECONDS, saved_seconds / MAX_OWNER_STEPS)
+        )
 
-    def _lowest(
+    def _cheapest(
         self,
         usable: list[tuple[TargetLoad, int, int]],
         owners: list[TargetId],
@@ -246,7 +248,7 @@
         if not ignores_pressure:
             price += PRESSURE_PRICE * self.pressure
         step_seconds = self._step_seconds(work)
-        least_uncached = min([item[1] for item in usable])
+        min_uncached = min([item[1] for item in usable])
         best_score = math.inf
         best: tuple[TargetLoad, int, float, float, float] | None = None
         for load, uncached, fetched in usable:
@@ -269,10 +271,10 @@
             excess = n_running + n_ahead + 1.0 - load.limit()
             if excess > 0.0:
                 wait += excess * rates.hold_seconds / load.limit()
-            steps = owners.index(target) if target in owners else OWNER_STEPS
+            steps = owners.index(target) if target in owners else MAX_OWNER_STEPS
             score = (
                 wait_weight * wait
-                + price * (uncached - least_uncached) * token_seconds
+                + price * (uncached - min_uncached) * token_seconds
                 + steps * step_seconds
                 + load.view.penalty_seconds
             )
--- a/lycheepost/decide/queueing.py
+++ b/lycheepost/decide/queueing.py
@@ -20,13 +20,13 @@
 """Advantage of one priority class over the next. It is bounded, as a strict order would
 let a steady flow of urgent work starve batches."""
 
-LENGTH_SHARE = 0.1
-MAX_LENGTH = 4.0
-"""For each mean cost that a request takes, up to ``MAX_LENGTH`` of them, its rank is
-delayed by this share of its first-token timeout. Short work passes long work, and under
-overload a request whose prefix is cached passes one whose prefix is not, so that whole
-batches are served while their prefix is cached. The bound prevents starvation of long
-and uncached work."""
+RANK_DELAY_SHARE = 0.1
+MAX_COST_RATIO = 4.0
+"""A request's rank is delayed by ``RANK_DELAY_SHARE`` of its first-token timeout for
+each mean cost that it takes, up to ``MAX_COST_RATIO`` of them. Short work passes long work,
+and under overload a request whose prefix is cached passes one whose prefix is not, so
+that whole batches are served while their prefix is cached. The bound prevents
+starvation of long and uncached work."""
 
 COST_GAIN = 0.02
 """Weight of one request in the mean cost, which adapts within about fifty requests."""
@@ -92,11 +92,11 @@
 
 def rank_of(work: Work, cost_seconds: float, mean_seconds: float) -> float:
     """Return the order of ``work`` within its customer; lower goes first."""
-    length = min(MAX_LENGTH, cost_seconds / max(mean_seconds, 1e-6))
+    cost_ratio = min(MAX_COST_RATIO, cost_seconds / max(mean_seconds, 1e-6))
     return (
         work.arrived_seconds
         + work.priority.value * PRIORITY_SECONDS
-        + length * LENGTH_SHARE * work.first_token_timeout_seconds
+        + cost_ratio * RANK_DELAY_SHARE * work.first_token_timeout_seconds
     )
 
 
@@ -164,13 +164,13 @@
         """Add a request behind those of its customer that rank before it."""
         lane = self.lane(waiting.work.customer)
         if not lane.waiting:
-            self._catch_up(lane)
+            self._limit_credit(lane)
         insort(lane.waiting, waiting, key=_BY_RANK)
         lane.queued_cost_seconds += waiting.cost_seconds
         self.queued_cost_seconds += waiting.cost_seconds
         self._by_request[waiting.work.request] = waiting
 
-    def _catch_up(self, lane: Lane) -> None:
+    def _limit_credit(self, lane: Lane) -> None:
         oldest = self.virtual_seconds - CREDIT_SECONDS / lane.weight
         lane.virtual_seconds = max(lane.virtual_seconds, oldest)
 
@@ -196,7 +196,7 @@
         """Count dispatched work against its customer's share."""
         lane = self.lane(customer)
         if not lane.waiting:
-            self._catch_up(lane)
+            self._limit_credit(lane)
         lane.virtual_seconds += cost_seconds / lane.weight
         self._advance()
 
--- a/lycheepost/decide/routes.py
+++ b/lycheepost/decide/routes.py
@@ -92,7 +92,7 @@
 """Transfers of KV cache between availability zones take this many times as long, by the
 platform's protocol."""
 
-STORE_SHARE = 0.4
+FETCH_LINK_SHARE = 0.4
 """Share of a store's link that is assumed for one fetch. The store serves all engines
 one after the other, and above two thirds of its bandwidth its queue grows quickly."""
 
@@ -116,7 +116,7 @@
 def _fetch_seconds(
     store: KvStore, zone: AvailabilityZone, engine: EngineTraits
 ) -> float:
-    link_mbps = min(STORE_SHARE * store.link_mbps, engine.link_mbps)
+    link_mbps = min(FETCH_LINK_SHARE * store.link_mbps, engine.link_mbps)
     if link_mbps <= 0.0 or engine.kv_token_bytes <= 0.0:
         return 0.0
     factor = 1.0 if store.availability_zone == zone else ZONE_FACTOR
--- a/lycheepost/decide/versions.py
+++ b/lycheepost/decide/versions.py
@@ -26,12 +26,12 @@
     """The two versions of a model during a rollout.
 
     Attributes:
-        following_share: Share of the requests for ``following``, 0 to 1.
+        next_share: Share of the requests for ``next_version``, 0 to 1.
     """
 
-    current: WeightsVersion
-    following: WeightsVersion
-    following_share: float
+    current_version: WeightsVersion
+    next_version: WeightsVersion
+    next_share: float
 
 
 class VersionChooser:
@@ -58,7 +58,7 @@
             return self._versions[model]
         data = (key % _KEYS).to_bytes(_KEY_BYTES, "big")
         point = hash_bytes(data) / _KEYS
-        return split.following if point < split.following_share else split.current
+        return split.next_version if point < split.next_share else split.current_version
 
 
 def make_version_chooser(
@@ -94,11 +94,11 @@
     model: Model, capacity: dict[tuple[TargetGroupId, str], float]
 ) -> VersionSplit:
     group = TargetGroupId(model.target_group)
-    following = capacity.get((group, model.next_weights_version), 0.0)
-    current = capacity.get((group, model.weights_version), 0.0)
-    total = current + following
+    next_capacity = capacity.get((group, model.next_weights_version), 0.0)
+    current_capacity = capacity.get((group, model.weights_version), 0.0)
+    total = current_capacity + next_capacity
     return VersionSplit(
-        current=WeightsVersion(model.weights_version),
-        following=WeightsVersion(model.next_weights_version),
-        following_share=following / total if total else 0.0,
+        current_version=WeightsVersion(model.weights_version),
+        next_version=WeightsVersion(model.next_weights_version),
+        next_share=next_capacity / total if total else 0.0,
     )
