--- a/lycheepost/decide/queueing.py
+++ b/lycheepost/decide/queueing.py
@@ -23,9 +23,9 @@
 RANK_DELAY_SHARE = 0.1
 MAX_COST_RATIO = 4.0
 """A request's rank is delayed by ``RANK_DELAY_SHARE`` of its first-token timeout for
-each mean cost that it takes, up to ``MAX_COST_RATIO`` of them. Short work passes long work,
-and under overload a request whose prefix is cached passes one whose prefix is not, so
-that whole batches are served while their prefix is cached. The bound prevents
+each mean cost that it takes, up to ``MAX_COST_RATIO`` of them. Short work passes long
+work, and under overload a request whose prefix is cached passes one whose prefix is
+not, so that whole batches are served while their prefix is cached. The bound prevents
 starvation of long and uncached work."""
 
 COST_GAIN = 0.02
