--- a/features/decide/steps/backlog_steps.py
+++ b/features/decide/steps/backlog_steps.py
@@ -10,10 +10,10 @@
 
 
 class Engine:
-    """Reads the prompts that it was sent, one after the other.
+    """Prefills its prompts one after the other.
 
     Attributes:
-        waiting: Requests and the tokens of each that are left to read.
+        waiting: Requests, their tokens left to prefill, and when they arrive.
         answers: Requests and when their first tokens arrive.
     """
 
@@ -40,7 +40,8 @@
 
 
 @given(
-    "a target that reads {speed:d} tokens a second, {away:d} ms away, told to 1 peer"
+    "a target that prefills {speed:d} tokens a second, {away:d} ms away, "
+    "reported to 1 peer"
 )
 def step_target(context, speed, away):
     context.engine = Engine(speed, away / 1000.0)
@@ -70,12 +71,12 @@
                 f"request-{n_made}",
                 levels=(),
                 prompt_tokens=n_tokens,
-                patience_seconds=60.0,
+                first_token_timeout_seconds=60.0,
             )
         note_sent(context, before, n_tokens)
         before = set(desk.sent)
-        desk.scheduler.note_others(*nothing_at(desk))
-        desk.note(desk.scheduler.pump(desk.now_seconds))
+        desk.scheduler.set_peer_load(*nothing_at(desk))
+        desk.note(desk.scheduler.dispatch_waiting(desk.now_seconds))
         note_sent(context, before, n_tokens)
         engine.step(desk.now_seconds)
         due = [item for item in engine.answers if item[1] <= desk.now_seconds]
@@ -86,7 +87,7 @@
 
 
 def nothing_at(desk):
-    """Return the word of a peer that has nothing at the target."""
+    """Return the report of a peer that has no load at the target."""
     return desk.views[0].target, NO_LOAD, desk.now_seconds
 
 
@@ -96,7 +97,7 @@
     assert 100 * engine.n_idle <= share * engine.n_steps, engine.n_idle
 
 
-@then("at most {most:d} tokens were sent and not read in the mean")
+@then("on average at most {most:d} tokens were sent and not yet prefilled")
 def step_unread(context, most):
     unread = context.engine.unread_tokens
     assert sum(unread) / len(unread) <= most, sum(unread) / len(unread)
@@ -107,7 +108,7 @@
     assert 0 < context.n_tokens <= most, context.n_tokens
 
 
-@given("a backlog of {sent:d} tokens at a speed of {speed:d} tokens a second")
+@given("a backlog of {sent:d} tokens at a throughput of {speed:d} tokens a second")
 def step_backlog(context, sent, speed):
     context.backlog, context.token_seconds = Backlog(), 1.0 / speed
     context.sent_tokens = sent
--- a/features/decide/steps/common.py
+++ b/features/decide/steps/common.py
@@ -1,4 +1,4 @@
-"""Requests, targets and calls for features of the decisions."""
+"""Requests, targets and a scheduler driver for features of the decisions."""
 
 from lycheepost.core.hashing import fingerprint_body
 from lycheepost.core.ids import (
@@ -42,7 +42,12 @@
 
 
 def make_work(
-    name, now_seconds, customer="customer", body=None, patience_seconds=5.0, **changes
+    name,
+    now_seconds,
+    customer="customer",
+    body=None,
+    first_token_timeout_seconds=5.0,
+    **changes,
 ):
     text = (body or name).encode()
     levels = fingerprint_levels(
@@ -59,14 +64,14 @@
         "output_tokens": 50,
         "priority": Priority.NORMAL,
         "arrived_seconds": now_seconds,
-        "patience_seconds": patience_seconds,
+        "first_token_timeout_seconds": first_token_timeout_seconds,
         "fingerprint": fingerprint_body(CustomerId(customer), text),
     }
     return Work(**(fields | changes))
 
 
 class Desk:
-    """A scheduler, its clock, and where each request went."""
+    """Drives a scheduler with virtual time and records where each request went."""
 
     def __init__(self, n_targets, **settings):
         self.now_seconds = 100.0
--- a/features/decide/steps/decisions.py
+++ b/features/decide/steps/decisions.py
@@ -6,7 +6,7 @@
 
 from features.decide.steps.common import Desk, make_view
 from lycheepost.core.ids import Incarnation, TargetId, WeightsVersion
-from lycheepost.decide.belief import CacheBelief
+from lycheepost.decide.cacheestimate import CacheEstimate
 from lycheepost.decide.records import (
     FinishKind,
     LoadReport,
@@ -52,14 +52,14 @@
             desk.ended.setdefault(request, desk.now_seconds)
 
 
-@then("every request was sent, or refused within {percent:d} in 100 of its patience")
+@then("every request was sent, or refused within {percent:d} in 100 of its timeout")
 def check_not_held(context, percent):
     desk = context.desk
     assert set(desk.works) == set(desk.sent) | set(desk.refused)
     for request, ended in desk.ended.items():
         work = desk.works[request]
         waited = ended - work.arrived_seconds
-        assert waited <= work.patience_seconds * percent / 100, waited
+        assert waited <= work.first_token_timeout_seconds * percent / 100, waited
 
 
 @when('a request "{name}" of another customer arrives')
@@ -118,15 +118,15 @@
     assert TargetId("target-0") not in context.desk.sent.values()
 
 
-@when("requests have filled the belief about target 0")
-def fill_belief(context):
+@when("requests have filled the cache estimate of target 0")
+def fill_cache_estimate(context):
     context.desk.arrive("first", body="same")
     context.work = context.desk.works["first"]
-    assert believed(context) == context.work.prompt_tokens
+    assert expected_cached_tokens(context) == context.work.prompt_tokens
 
 
-def believed(context):
-    """Return what the next dispatch of the same prompt expects to be cached."""
+def expected_cached_tokens(context):
+    """Return the cached tokens that the next dispatch of the same prompt expects."""
     desk = context.desk
     work = replace(context.work, request=f"again-{desk.now_seconds}")
     desk.now_seconds += 1.0
@@ -186,24 +186,24 @@
 
 
 @then("the same prompt expects no cached tokens there")
-def check_no_belief(context):
-    assert believed(context) == 0
+def check_no_cached_tokens(context):
+    assert expected_cached_tokens(context) == 0
 
 
 @when("target 0 announces {n_stored:d} stored levels and then skips {n_lost:d} events")
 def skip_events(context, n_stored, n_lost):
-    context.belief = CacheBelief(Incarnation("boot"), 10**9)
+    context.cache_estimate = CacheEstimate(Incarnation("boot"), 10**9)
     events = [stored(sequence, sequence) for sequence in range(1, n_stored + 1)]
     events.append(stored(n_stored + n_lost + 1, n_stored + n_lost + 1))
-    context.belief.observe(Incarnation("boot"), events)
+    context.cache_estimate.observe(Incarnation("boot"), events)
 
 
-@then("the {count:d} oldest levels are no longer believed and the rest are")
+@then("the {count:d} oldest levels are dropped and the rest are kept")
 def check_gap(context, count):
     found = [
         digest
         for digest in range(1, 51)
-        if context.belief.cached_tokens((PrefixLevel(digest, 100),))
+        if context.cache_estimate.cached_tokens((PrefixLevel(digest, 100),))
     ]
     assert found == list(range(count + 1, 51)), found
 
--- a/features/decide/steps/faults.py
+++ b/features/decide/steps/faults.py
@@ -23,8 +23,8 @@
     desk.views = {0: desk.views[0]}
     desk.announce()
     for index in range(count - 1):
-        desk.arrive(f"neighbour-{index}", patience_seconds=60.0)
-    desk.arrive(CRASHING, patience_seconds=60.0)
+        desk.arrive(f"neighbour-{index}", first_token_timeout_seconds=60.0)
+    desk.arrive(CRASHING, first_token_timeout_seconds=60.0)
     assert set(desk.sent.values()) == {TARGET_0} and len(desk.sent) == count
     desk.views.update(others)
     desk.announce()
@@ -119,7 +119,9 @@
 
     def send(self, body):
         self.n_sent += 1
-        self.desk.arrive(f"played-{self.n_sent}", body=body, patience_seconds=20.0)
+        self.desk.arrive(
+            f"played-{self.n_sent}", body=body, first_token_timeout_seconds=20.0
+        )
 
     def start_sent(self, slowness):
         """Schedule the end of every request that was sent; return their targets."""
--- a/features/decide/steps/kvcopies_steps.py
+++ b/features/decide/steps/kvcopies_steps.py
@@ -19,7 +19,7 @@
     PromptPart,
     make_route_table,
 )
-from lycheepost.decide.kvcopies import KvCopies
+from lycheepost.decide.kvstorecontents import KvStoreContents
 from lycheepost.decide.promptlevels import CacheScope, prompt_levels
 from lycheepost.decide.routes import choose_kv_store
 from lycheepost.generated.engine import CacheEvent, CacheEventKind
@@ -46,10 +46,10 @@
 @given("{n:d} templates of 6300 tokens before prompts with 2900 tokens of their own")
 def step_templates(context, n):
     context.templates = [f"template-{index}" for index in range(n)]
-    context.copies = KvCopies()
+    context.copies = KvStoreContents()
 
 
-@when("{n:d} prompts come in 10 s, and the store tells 0.6 s late what it was sent")
+@when("{n:d} prompts come in 10 s, and the store reports 0.6 s late what it was sent")
 def step_many(context, n):
     rng = random.Random(1)
     late, number, context.n_sent, context.kept = [], 0, 0, set()
@@ -86,9 +86,9 @@
     context.copies.observe(STORE, BOOT, (stored(1, context.level),))
 
 
-@given("a store that tells nothing")
+@given("a store that reports no events")
 def step_silent(context):
-    context.copies, context.n_sent = KvCopies(), 0
+    context.copies, context.n_sent = KvStoreContents(), 0
 
 
 def send(context, template, now_seconds, weights="1"):
--- a/features/decide/steps/routed.py
+++ b/features/decide/steps/routed.py
@@ -20,8 +20,8 @@
     Step,
     next_step,
 )
-from lycheepost.decide.freshness import KeyRule, may_trust_key
-from lycheepost.decide.routes import Way, choose_group, find_way
+from lycheepost.decide.freshness import KeyTrustRule, may_trust_key
+from lycheepost.decide.routes import RouteMatch, choose_group, match_route
 from lycheepost.decide.silence import first_byte_timeout_seconds
 
 LIMITS = CallerLimits(16384, 4194304, 3.0, 15.0)
@@ -58,15 +58,17 @@
 
 @when("a request for {path} at {host} comes with key {key}")
 def step_request(context, path, host, key):
-    context.way = find_way(context.routes, host, path, None if key == "none" else key)
+    context.found = match_route(
+        context.routes, host, path, None if key == "none" else key
+    )
 
 
-@then("its way is {outcome}")
-def step_way(context, outcome):
-    way = context.way
-    found = way.name if not isinstance(way, Way) else way.route.name
-    if isinstance(way, Way) and way.is_keyed:
-        found += f" as {way.holder.customer}"
+@then("its route is {outcome}")
+def step_route(context, outcome):
+    match = context.found
+    found = match.name if not isinstance(match, RouteMatch) else match.route.name
+    if isinstance(match, RouteMatch) and match.is_keyed:
+        found += f" as {match.holder.customer}"
     assert found == outcome, found
 
 
@@ -81,7 +83,7 @@
 
 @given("a route with five groups of weight 33.3 and one of 0")
 def step_nought(context):
-    # Their sum is rounded up, so taking away one after the other leaves nought.
+    # Their sum is rounded up, so subtracting one after the other leaves 0.
     shares = (GroupShare(TargetGroupId("a"), 33.3),) * 5
     shares += (GroupShare(TargetGroupId("b"), 0.0),)
     context.route = replace(make_route("r", "/"), shares=shares)
@@ -112,7 +114,7 @@
     "keys must be out of use after {bound:d} s and the last confirmation is {age} s old"
 )
 def step_confirmation(context, bound, age):
-    rule = KeyRule(bound, True)
+    rule = KeyTrustRule(bound, True)
     confirmed = None if age == "never" else NOW_SECONDS - float(age)
     context.is_trusted = may_trust_key(rule, confirmed, NOW_SECONDS)
 
@@ -143,7 +145,7 @@
     assert context.step is Step[step], context.step
 
 
-@when("every send of a request ends as {end}")
+@when("every attempt of a request ends as {end}")
 def step_every(context, end):
     end = AttemptEnd(end)
     sends = Sends()
@@ -154,7 +156,7 @@
     context.sends, context.step = sends, step
 
 
-@then("it is refused as not run after {n:d} sends")
+@then("it is refused as not run after {n:d} attempts")
 def step_refused(context, n):
     assert context.step is Step.REFUSE
     assert context.sends == Sends(n, 0), context.sends
@@ -165,6 +167,6 @@
     context.silence = first_byte_timeout_seconds(context.route, Sends(runs, runs), left)
 
 
-@then("a silent target is left after {seconds:g} s")
+@then("a silent target is given up after {seconds:g} s")
 def step_silence(context, seconds):
     assert abs(context.silence - seconds) < 1e-9, context.silence
--- a/lycheepost/app/loads.py
+++ b/lycheepost/app/loads.py
@@ -126,12 +126,12 @@
         if is_known:
             totals = self._peer_loads.totals(now_seconds)
             for target in self._targets:
-                self._dispatcher.note_others(target, totals.get(target, NO_LOAD))
+                self._dispatcher.set_peer_load(target, totals.get(target, NO_LOAD))
         self._dispatcher.draw_admission(
             lambda group: self._peer_loads.n_waiting(group, now_seconds)
         )
         if is_known:
-            self._dispatcher.pump()
+            self._dispatcher.dispatch_waiting()
 
     def _receive(self, update: LoadNews, sender: DaemonId) -> None:
         loads = {
--- a/lycheepost/decide/placement.py
+++ b/lycheepost/decide/placement.py
@@ -1,14 +1,13 @@
-"""Where a request goes: the target with the lowest predicted cost.
-
-Cost = predicted time to the first token, plus the prefill that another target
-would have spared, each by the deployment's weight, plus what an answer from there is
-worth less. Prairie weighs the wait,
-Mercia the recomputation. Under pressure avoidable prefill has a further price:
-without it each request that finds its owner full is recomputed elsewhere, which
-makes the fleet busier, and the next owner full, until it does little else. A
-small preference by ring order makes daemons agree
-on a new prefix before cache events reach them, and lets a hot prefix gain
-owners as its first ones fill up and lose them when demand falls.
+"""Placement: chooses the target with the lowest predicted cost for a request.
+
+Cost = predicted time to the first token, plus the prefill that another target would
+avoid, each by the deployment's weight, plus the target's penalty. The deployment
+Prairie gives more weight to the wait, Mercia to the recomputation. Under pressure
+avoidable prefill costs more: otherwise each request that finds its owner full is
+recomputed elsewhere, which loads the group further and fills the next owner, until most
+of its work is recomputation. A small preference by ring order makes daemons agree on a
+new prefix before cache events reach them. It also lets a hot prefix gain owners as its
+first ones fill up, and lose them when demand falls.
 """
 
 import math
@@ -26,45 +25,45 @@
 from lycheepost.decide.sharedlevel import shared_digest
 
 SCORE_ALL_TARGETS = 12
-"""Up to this many targets are all scored; above, only candidates, so that a
-decision costs the same before 100 and before 12,000 servers."""
+"""Groups of up to this size are scored completely; in larger ones only candidates are,
+so that a decision costs the same with 100 and with 12,000 servers."""
 
-OWNER_SECONDS = 0.01
-"""Most that a step away from the first owner costs: below what a caller notices,
-above the noise of predictions."""
+MAX_STEP_SECONDS = 0.01
+"""Maximum cost of a step away from the first owner: below what a caller notices, above
+the noise of the predictions."""
 
-TIE_SECONDS = 0.0003
-"""Least that it costs. Where nothing is shared, targets that are equally good are still
-taken in an order that differs from request to request."""
+MIN_STEP_SECONDS = 0.0003
+"""Minimum cost of a step. Even where nothing is shared, ties between equally good
+targets are broken in an order that differs from request to request."""
 
 PRESSURE_PRICE = 20.0
-"""Price of avoidable prefill while the queue is never empty. Each second of it
-is then a second taken from someone who is refused, however short this request's
-own wait may get; saving a second of wait is worth a twentieth of it."""
+"""Price of a second of avoidable prefill while the queue is never empty, in seconds of
+wait. It takes engine time from a request that is then refused, which outweighs a
+shorter wait of this request."""
 
-OWNER_STEPS = 4
-"""Steps after which all other targets count alike."""
+MAX_OWNER_STEPS = 4
+"""All targets beyond this many steps have the same cost."""
 
 RANDOM_CANDIDATES = 2
-"""Two random targets bound the load where owners and holders are all full."""
+"""Two random targets are added, in case all owners and holders are full."""
 
 HOLDERS_PER_DIGEST = 6
 MAX_HELD_DIGESTS = 100_000
-"""Bounds memory to about 20 MB for the prefixes that one daemon sees."""
+"""Bounds memory to about 20 MB for the prefixes that one daemon handles."""
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """A placement that was weighed.
+    """The chosen placement of a request.
 
     Attributes:
         wait_seconds: Predicted time to the first token.
         cached_tokens: Prompt tokens that need no prefill there: cached by the target,
             or fetched by it from a KV store.
         uncached_tokens: Prompt tokens to prefill there.
-        can_take: Whether the target has room for it now.
-        held_back_seconds: The part of the wait that the target's limit or its back-off
-            makes.
+        can_take: Whether the target has capacity for it now.
+        throttled_seconds: The part of the wait that is due to the target's rate limit
+            or back-off.
     """
 
     load: TargetLoad
@@ -73,14 +72,14 @@
     uncached_tokens: int
     ahead_tokens: float
     can_take: bool
-    held_back_seconds: float = 0.0
+    throttled_seconds: float = 0.0
 
 
-class Ahead:
-    """Requests of our own queue that wait for a target, by target.
+class WaitingByTarget:
+    """This daemon's queued requests by the target that they wait for.
 
-    Without them the target of a hot prefix looks as if only its running work
-    lay ahead, however many of ours already wait for it.
+    Without them the predicted wait for the target of a hot prefix would include only
+    its running work, however many queued requests already wait for it.
     """
 
     def __init__(self) -> None:
@@ -93,7 +92,7 @@
         self.requests[target] = self.requests.get(target, 0) + 1
 
     def remove(self, target: TargetId, n_tokens: int) -> None:
-        """Stop counting one."""
+        """Remove one request that waited for ``target``."""
         self.tokens[target] -= n_tokens
         self.requests[target] -= 1
         if not self.requests[target]:
@@ -102,7 +101,7 @@
 
 
 class Placement:
-    """Candidates and scores within one target group."""
+    """Selects and scores candidates within one target group."""
 
     def __init__(self, settings: SchedulerSettings, rng: random.Random) -> None:
         self._settings = settings
@@ -116,46 +115,46 @@
         self.pressure = 0.0
 
     def refresh(self) -> None:
-        """Follow a change of the targets."""
+        """Rebuild the serving targets after a change."""
         self._serving = [load for load in self.loads.values() if _takes_new_work(load)]
         self._serving_by_id = {load.view.target: load for load in self._serving}
         self._ring.replace(set(self._serving_by_id))
 
     def serving(self) -> list[TargetId]:
-        """Return the targets that take new work, in an order that daemons share."""
+        """Return the targets that take new work, in the same order on every daemon."""
         return sorted(self._serving_by_id)
 
     def is_empty(self) -> bool:
-        """Tell whether no target takes new work."""
+        """Return whether no target takes new work."""
         return not self._serving
 
-    def has_room(self, now_seconds: float) -> bool:
-        """Tell whether some target may take work now; guesses in large groups."""
+    def has_capacity(self, now_seconds: float) -> bool:
+        """Return whether any target has capacity; assumed in large groups."""
         if len(self._serving) > SCORE_ALL_TARGETS:
             return True
         return any(
-            load.has_room(load.estimate(now_seconds)[1], now_seconds)
+            load.has_capacity(load.estimate(now_seconds)[1], now_seconds)
             for load in self._serving
         )
 
     def full_share(self, now_seconds: float) -> float:
-        """Return the share of targets without room; sampled in large groups.
+        """Return the share of targets without capacity; sampled in large groups.
 
-        Targets that are held back from this daemon don't count unless all are: they say
-        nothing of how busy the others are.
+        Throttled targets are not counted unless all are: their throttling does not show
+        how busy the others are.
         """
         loads = self._serving
         if len(loads) > SCORE_ALL_TARGETS:
             loads = self._rng.sample(loads, SCORE_ALL_TARGETS)
-        loads = [load for load in loads if not load.is_held_back(now_seconds)] or loads
+        loads = [load for load in loads if not load.is_throttled(now_seconds)] or loads
         n_full = sum(
-            not load.has_room(load.estimate(now_seconds)[1], now_seconds)
+            not load.has_capacity(load.estimate(now_seconds)[1], now_seconds)
             for load in loads
         )
         return n_full / max(1, len(loads))
 
     def note_holder(self, levels: Sequence[PrefixLevel], target: TargetId) -> None:
-        """Remember that ``target`` is about to hold ``levels``."""
+        """Record that ``target`` is about to cache ``levels``."""
         if len(self._serving) <= SCORE_ALL_TARGETS:
             return
         for level in levels:
@@ -189,87 +188,93 @@
         work: Work,
         now_seconds: float,
         avoid: frozenset[TargetId] | set[TargetId],
-        ahead_of: Ahead,
-        is_late: bool = False,
+        waiting_ahead: WaitingByTarget,
+        ignores_pressure: bool = False,
     ) -> Choice | None:
-        """Return the best placement of ``work``; None when no target fits.
+        """Return the best placement of ``work``; None if no target can run it.
 
         Args:
             work: The request to place.
-            now_seconds: The present time.
+            now_seconds: The current time.
             avoid: Targets that must not get this request.
-            ahead_of: Requests ahead in the queue that wait for a target.
-            is_late: Leave out the price of recomputation under pressure.
+            waiting_ahead: Requests ahead in the queue, by the target they wait for.
+            ignores_pressure: Leave out the price of recomputation under pressure.
         """
-        owners = self._ring.owners(_owner_key(work), OWNER_STEPS)
+        owners = self._ring.owners(_owner_key(work), MAX_OWNER_STEPS)
         usable = _usable(self._candidates(work, owners), work, avoid)
-        free = _not_held_back(usable, now_seconds)
+        free = _not_throttled(usable, now_seconds)
         if not free:
-            # All candidates have failed it, or are kept from it or held back:
-            # rare enough to look at every target rather than refuse it before
-            # thousands.
+            # All candidates are excluded or throttled. This is rare, so every target
+            # is scored rather than refusing the request while others could serve it.
             usable = _usable(self._serving, work, avoid)
-            free = _not_held_back(usable, now_seconds)
+            free = _not_throttled(usable, now_seconds)
         if not usable:
             return None
         chosen_from = free or usable
-        return self._lowest(chosen_from, owners, now_seconds, ahead_of, work, is_late)
+        return self._cheapest(
+            chosen_from, owners, now_seconds, waiting_ahead, work, ignores_pressure
+        )
 
     def _step_seconds(self, work: Work) -> float:
-        """Return what a step away from the first owner costs.
+        """Return the cost of a step away from the first owner.
 
-        No more than the prefill that owners spare: a short prompt, or a request of a
-        plain service, goes where the wait is shortest, and not where its hash says.
+        It is at most the prefill that owners avoid: a short prompt, or a request of a
+        plain service, goes where the wait is shortest, not where its hash points.
         """
         saved_seconds = _shared_tokens(work) * self.rates.token_seconds
-        return min(OWNER_SECONDS, max(TIE_SECONDS, saved_seconds / OWNER_STEPS))
+        return min(
+            MAX_STEP_SECONDS, max(MIN_STEP_SECONDS, saved_seconds / MAX_OWNER_STEPS)
+        )
 
-    def _lowest(
+    def _cheapest(
         self,
         usable: list[tuple[TargetLoad, int, int]],
         owners: list[TargetId],
         now_seconds: float,
-        ahead_of: Ahead,
+        waiting_ahead: WaitingByTarget,
         work: Work,
-        is_late: bool,
+        ignores_pressure: bool,
     ) -> Choice:
-        """Return the target of lowest cost.
+        """Return the placement with the lowest cost.
 
-        One loop without calls per target where it can be avoided: it runs for
-        each arriving request, 100 of them a second in a daemon, and for each
-        waiting one whenever room appears.
+        A single loop with few calls per target, for speed: it runs for each arriving
+        request, 100 per second in a daemon, and for waiting requests whenever capacity
+        becomes free.
         """
         rates = self.rates
         token_seconds = rates.token_seconds
         wait_weight = self._settings.wait_weight
         price = self._settings.recompute_weight
-        if not is_late:
+        if not ignores_pressure:
             price += PRESSURE_PRICE * self.pressure
         step_seconds = self._step_seconds(work)
-        least_uncached = min([item[1] for item in usable])
+        min_uncached = min([item[1] for item in usable])
         best_score = math.inf
         best: tuple[TargetLoad, int, float, float, float] | None = None
         for load, uncached, fetched in usable:
             target = load.view.target
             ahead, n_running = load.estimate(now_seconds)
-            if ahead_of.tokens:
-                ahead += ahead_of.tokens.get(target, 0)
-                n_ahead = ahead_of.requests.get(target, 0)
+            if waiting_ahead.tokens:
+                ahead += waiting_ahead.tokens.get(target, 0)
+                n_ahead = waiting_ahead.requests.get(target, 0)
             else:
                 n_ahead = 0
             prefill = uncached * token_seconds
             prefill += fetched * load.view.fetch_token_seconds
             wait = rates.first_token_seconds + ahead * token_seconds + prefill
             wait *= load.slowness.now(now_seconds)
-            if load.pace is not None or load.backoff_until_seconds > now_seconds:
-                wait += load.held_back_seconds(now_seconds, n_ahead)
+            if (
+                load.rate_limiter is not None
+                or load.backoff_until_seconds > now_seconds
+            ):
+                wait += load.throttled_seconds(now_seconds, n_ahead)
             excess = n_running + n_ahead + 1.0 - load.limit()
             if excess > 0.0:
                 wait += excess * rates.hold_seconds / load.limit()
-            steps = owners.index(target) if target in owners else OWNER_STEPS
+            steps = owners.index(target) if target in owners else MAX_OWNER_STEPS
             score = (
                 wait_weight * wait
-                + price * (uncached - least_uncached) * token_seconds
+                + price * (uncached - min_uncached) * token_seconds
                 + steps * step_seconds
                 + load.view.penalty_seconds
             )
@@ -278,11 +283,11 @@
                 best = (load, uncached, wait, ahead, n_running)
         assert best is not None
         load, uncached, wait, ahead, n_running = best
-        can_take = load.has_room(n_running, now_seconds)
+        can_take = load.has_capacity(n_running, now_seconds)
         cached = work.prompt_tokens - uncached
-        n_ahead = ahead_of.requests.get(load.view.target, 0)
-        held_back_seconds = load.held_back_seconds(now_seconds, n_ahead)
-        return Choice(load, wait, cached, uncached, ahead, can_take, held_back_seconds)
+        n_ahead = waiting_ahead.requests.get(load.view.target, 0)
+        throttled_seconds = load.throttled_seconds(now_seconds, n_ahead)
+        return Choice(load, wait, cached, uncached, ahead, can_take, throttled_seconds)
 
 
 def _usable(
@@ -290,12 +295,12 @@
     work: Work,
     avoid: frozenset[TargetId] | set[TargetId],
 ) -> list[tuple[TargetLoad, int, int]]:
-    """Return the targets that may run ``work``, with what each must do first.
+    """Return the targets that may run ``work``, with the tokens each must load.
 
     Returns:
         The target, the prompt tokens that it has to prefill, and those that it can
-        fetch from a KV store instead. A fetch takes a small part of a prefill and
-        none of the engine's time, so what the store keeps binds a prompt to no target.
+        fetch from a KV store instead. A fetch takes a small part of the time of a
+        prefill and no engine time, so stored tokens tie a prompt to no target.
     """
     version = work.weights_version
     usable: list[tuple[TargetLoad, int, int]] = []
@@ -303,7 +308,7 @@
         view = load.view
         if view.target in avoid or (version and view.weights_version != version):
             continue
-        cached = load.belief.cached_tokens(work.levels)
+        cached = load.cache_estimate.cached_tokens(work.levels)
         kept = work.kept_tokens if view.fetch_token_seconds > 0.0 else 0
         fetched = kept - cached if kept > cached else 0
         uncached = work.prompt_tokens - cached - fetched
@@ -311,16 +316,15 @@
     return usable
 
 
-def _not_held_back(
+def _not_throttled(
     usable: list[tuple[TargetLoad, int, int]], now_seconds: float
 ) -> list[tuple[TargetLoad, int, int]]:
-    """Return the targets that are not held back from this daemon now.
+    """Return the targets that are not throttled for this daemon now.
 
-    The load: a hot prompt that a target in need caches. Work that waited for its limit,
-    or for the end of its back-off, would be late, and the queue that it makes would
-    have others refused.
+    If a hot prompt is cached by a throttled target, work that waited for the end of its
+    rate limit or back-off would be late, and its queue would cause refusals of others.
     """
-    return [item for item in usable if not item[0].is_held_back(now_seconds)]
+    return [item for item in usable if not item[0].is_throttled(now_seconds)]
 
 
 def _takes_new_work(load: TargetLoad) -> bool:
@@ -328,7 +332,7 @@
 
 
 def _owner_key(work: Work) -> int:
-    """Return what a prompt is placed by: what others share of it, or itself."""
+    """Return the ring key of a prompt: its shared prefix, or its own fingerprint."""
     digest = shared_digest(work.levels)
     return int(work.fingerprint if digest is None else digest)
 
--- a/lycheepost/decide/queueing.py
+++ b/lycheepost/decide/queueing.py
@@ -1,11 +1,11 @@
-"""The queue of one target group: weighted fair between customers.
+"""Weighted fair queue of one target group.
 
 Start-time fair queueing: each customer has a virtual time that advances by the
-predicted cost of its dispatched work over its weight, and the customer with the
-least virtual time goes next. A customer inside its share is therefore served
-ahead of one that sends ten times its share, however long the latter's queue is.
-Within one customer, urgent work goes first, then short work before long work
-that arrived a little earlier, then the order of arrival.
+predicted cost of its dispatched work over its weight, and the customer with the least
+virtual time goes next. A customer inside its share is thus served before one that sends
+ten times its share, however long the latter's queue is. Within one customer, urgent
+work goes first, then short work before long work that arrived a little earlier, then
+the order of arrival.
 """
 
 from bisect import bisect_right, insort
@@ -17,42 +17,42 @@
 from lycheepost.decide.records import Work
 
 PRIORITY_SECONDS = 4.0
-"""Head start of one priority class over the next. A bound instead of a strict
-order, so that a flow of urgent work cannot starve a batch for ever."""
+"""Advantage of one priority class over the next. It is bounded, as a strict order would
+let a steady flow of urgent work starve batches."""
 
-LENGTH_SHARE = 0.1
-MAX_LENGTH = 4.0
-"""Each mean cost of a request delays its rank by a tenth of its patience, up to
-four of them. Short work passes long work, and under overload a request whose
-prefix is cached passes one whose prefix is not, so whole batches are served
-while they are warm instead of parts of all of them cold. The bound keeps long
-and cold work from starving."""
+RANK_DELAY_SHARE = 0.1
+MAX_COST_RATIO = 4.0
+"""A request's rank is delayed by ``RANK_DELAY_SHARE`` of its first-token timeout for
+each mean cost that it takes, up to ``MAX_COST_RATIO`` of them. Short work passes long
+work, and under overload a request whose prefix is cached passes one whose prefix is
+not, so that whole batches are served while their prefix is cached. The bound prevents
+starvation of long and uncached work."""
 
 COST_GAIN = 0.02
-"""Weight of one request in the mean cost; fifty settle it."""
+"""Weight of one request in the mean cost, which adapts within about fifty requests."""
 
 INSIDE_LEAD_SECONDS = 1e6
-"""Puts all requests of customers inside their share before all others."""
+"""Places requests of customers inside their share before all others."""
 
 CREDIT_SECONDS = 3.0
-"""Engine time that an idle customer may have saved up, over its weight: a
-customer far inside its share may send some requests at once without waiting
-behind those who are over theirs. It is forgotten beyond that, or a customer
-that slept all night could shut out all others in the morning."""
+"""Engine time, over its weight, that an idle customer may accumulate as credit: a
+customer far inside its share may send some requests at once without waiting behind
+customers over theirs. Without this bound a customer that was idle for hours could block
+all others."""
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedRequest:
     """One queued request.
 
     Attributes:
         rank: Order within the customer; lower goes first.
         cost_seconds: Predicted engine time.
-        deadline_seconds: When the caller leaves.
+        deadline_seconds: When the caller's timeout ends.
         give_up_seconds: When it is refused if it still waits.
-        hopeful_until_seconds: Sent out by then it may still meet its objective.
-        predicted_seconds: Wait that was predicted for it.
-        bound: The target it waits for and the tokens to prefill there.
+        latest_dispatch_seconds: Last dispatch time at which it can meet its objective.
+        predicted_seconds: Predicted wait.
+        awaited_target: The target it waits for and the tokens to prefill there.
     """
 
     work: Work
@@ -61,9 +61,9 @@
     deadline_seconds: float
     give_up_seconds: float
     enqueued_seconds: float
-    hopeful_until_seconds: float = float("inf")
+    latest_dispatch_seconds: float = float("inf")
     predicted_seconds: float = 0.0
-    bound: tuple[TargetId, int] | None = None
+    awaited_target: tuple[TargetId, int] | None = None
 
 
 @dataclass(slots=True)
@@ -74,12 +74,12 @@
     weight: float = 1.0
     virtual_seconds: float = 0.0
     queued_cost_seconds: float = 0.0
-    waiting: list[Waiting] = field(default_factory=list)
+    waiting: list[QueuedRequest] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
-class _Head:
-    """How far a look through one lane has come."""
+class _LaneCursor:
+    """Position of one iteration over a lane."""
 
     virtual_seconds: float
     lane: Lane
@@ -92,11 +92,11 @@
 
 def rank_of(work: Work, cost_seconds: float, mean_seconds: float) -> float:
     """Return the order of ``work`` within its customer; lower goes first."""
-    length = min(MAX_LENGTH, cost_seconds / max(mean_seconds, 1e-6))
+    cost_ratio = min(MAX_COST_RATIO, cost_seconds / max(mean_seconds, 1e-6))
     return (
         work.arrived_seconds
         + work.priority.value * PRIORITY_SECONDS
-        + length * LENGTH_SHARE * work.patience_seconds
+        + cost_ratio * RANK_DELAY_SHARE * work.first_token_timeout_seconds
     )
 
 
@@ -106,7 +106,7 @@
     def __init__(self) -> None:
         self.lanes: dict[CustomerId, Lane] = {}
         self._weights: dict[CustomerId, float] = {}
-        self._by_request: dict[RequestId, Waiting] = {}
+        self._by_request: dict[RequestId, QueuedRequest] = {}
         self.mean_seconds: float | None = None
         self.virtual_seconds = 0.0
         self.queued_cost_seconds = 0.0
@@ -118,13 +118,13 @@
         return request in self._by_request
 
     def set_weights(self, weights: dict[CustomerId, float]) -> None:
-        """Set the weight of each customer in fair sharing; 1 when missing."""
+        """Set the weight of each customer in fair queueing; 1 if missing."""
         self._weights = weights
         for customer, lane in self.lanes.items():
             lane.weight = weights.get(customer, 1.0)
 
     def lane(self, customer: CustomerId) -> Lane:
-        """Return the lane of ``customer``, made on first use."""
+        """Return the lane of ``customer``, which is created on first use."""
         lane = self.lanes.get(customer)
         if lane is None:
             weight = self._weights.get(customer, 1.0)
@@ -138,12 +138,12 @@
         cost_seconds: float,
         now_seconds: float,
         give_up_seconds: float | None = None,
-    ) -> Waiting:
+    ) -> QueuedRequest:
         """Return a queue entry, ranked against the mean cost so far."""
         mean_seconds = self.mean_seconds or cost_seconds
         self.mean_seconds = mean_seconds + COST_GAIN * (cost_seconds - mean_seconds)
-        deadline_seconds = work.arrived_seconds + work.patience_seconds
-        return Waiting(
+        deadline_seconds = work.arrived_seconds + work.first_token_timeout_seconds
+        return QueuedRequest(
             work=work,
             rank=rank_of(work, cost_seconds, mean_seconds),
             cost_seconds=cost_seconds,
@@ -152,7 +152,7 @@
             enqueued_seconds=now_seconds,
         )
 
-    def ahead_seconds(self, waiting: Waiting) -> float:
+    def ahead_seconds(self, waiting: QueuedRequest) -> float:
         """Return the cost of its customer's requests that rank before it."""
         lane = self.lane(waiting.work.customer)
         index = bisect_right(lane.waiting, waiting.rank, key=_BY_RANK)
@@ -160,28 +160,28 @@
             return lane.queued_cost_seconds
         return sum(item.cost_seconds for item in lane.waiting[:index])
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedRequest) -> None:
         """Add a request behind those of its customer that rank before it."""
         lane = self.lane(waiting.work.customer)
         if not lane.waiting:
-            self._catch_up(lane)
+            self._limit_credit(lane)
         insort(lane.waiting, waiting, key=_BY_RANK)
         lane.queued_cost_seconds += waiting.cost_seconds
         self.queued_cost_seconds += waiting.cost_seconds
         self._by_request[waiting.work.request] = waiting
 
-    def _catch_up(self, lane: Lane) -> None:
+    def _limit_credit(self, lane: Lane) -> None:
         oldest = self.virtual_seconds - CREDIT_SECONDS / lane.weight
         lane.virtual_seconds = max(lane.virtual_seconds, oldest)
 
     def lead_seconds(self, customer: CustomerId) -> float:
         """Return how far a customer's service is ahead of the fair order.
 
-        Not above zero: it has had less than its share of late.
+        Zero or less means that it has recently had no more than its share.
         """
         return self.lane(customer).virtual_seconds - self.virtual_seconds
 
-    def remove(self, request: RequestId) -> Waiting | None:
+    def remove(self, request: RequestId) -> QueuedRequest | None:
         """Take a request out; None when it does not wait here."""
         waiting = self._by_request.pop(request, None)
         if waiting is None:
@@ -196,7 +196,7 @@
         """Count dispatched work against its customer's share."""
         lane = self.lane(customer)
         if not lane.waiting:
-            self._catch_up(lane)
+            self._limit_credit(lane)
         lane.virtual_seconds += cost_seconds / lane.weight
         self._advance()
 
@@ -207,28 +207,28 @@
 
     def in_order(
         self, limit: int, is_inside: Callable[[CustomerId], bool] | None = None
-    ) -> Iterator[Waiting]:
+    ) -> Iterator[QueuedRequest]:
         """Yield up to ``limit`` requests in fair order, as of the call.
 
         Args:
             limit: Most requests to yield.
-            is_inside: Tells customers that ask for no more than their share;
-                theirs go first, as they cannot crowd out the others.
+            is_inside: Returns whether a customer's demand is within its share. Requests
+                of such customers go first, as they cannot displace the others.
         """
-        heads = [
-            _Head(self._start_of(lane, is_inside), lane)
+        cursors = [
+            _LaneCursor(self._start_of(lane, is_inside), lane)
             for lane in self.lanes.values()
             if lane.waiting
         ]
-        picked: list[Waiting] = []
-        while heads and len(picked) < limit:
-            head = min(heads, key=_BY_VIRTUAL)
-            waiting = head.lane.waiting[head.index]
+        picked: list[QueuedRequest] = []
+        while cursors and len(picked) < limit:
+            cursor = min(cursors, key=_BY_VIRTUAL)
+            waiting = cursor.lane.waiting[cursor.index]
             picked.append(waiting)
-            head.virtual_seconds += waiting.cost_seconds / head.lane.weight
-            head.index += 1
-            if head.index == len(head.lane.waiting):
-                heads.remove(head)
+            cursor.virtual_seconds += waiting.cost_seconds / cursor.lane.weight
+            cursor.index += 1
+            if cursor.index == len(cursor.lane.waiting):
+                cursors.remove(cursor)
         return iter(picked)
 
     def _start_of(
@@ -238,6 +238,6 @@
             return lane.virtual_seconds - INSIDE_LEAD_SECONDS
         return lane.virtual_seconds
 
-    def all(self) -> list[Waiting]:
+    def all(self) -> list[QueuedRequest]:
         """Return every waiting request."""
         return list(self._by_request.values())
--- a/lycheepost/decide/suspects.py
+++ b/lycheepost/decide/suspects.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 from lycheepost.core.ids import TargetId
-from lycheepost.decide.placement import Ahead, Choice, Placement
+from lycheepost.decide.placement import Choice, Placement, WaitingByTarget
 from lycheepost.decide.quarantine import PeerSuspects, Quarantine
 from lycheepost.decide.records import Work
 
@@ -44,18 +44,20 @@
         self._tried = []
         return tried
 
-    def choose(self, work: Work, now_seconds: float, ahead_of: Ahead) -> Choice | None:
+    def choose(
+        self, work: Work, now_seconds: float, waiting_ahead: WaitingByTarget
+    ) -> Choice | None:
         """Return where to send a suspect; None if no target is suitable."""
         avoided = work.excluded | self._targets_with_suspects(now_seconds)
-        choice = self._choose_assigned(work, now_seconds, avoided, ahead_of)
+        choice = self._choose_assigned(work, now_seconds, avoided, waiting_ahead)
         if choice is None:
-            choice = self._placement.best(work, now_seconds, avoided, ahead_of)
+            choice = self._placement.best(work, now_seconds, avoided, waiting_ahead)
         if choice is not None:
             return choice
         # A target lost with many requests makes all of them suspects, more than there
         # are targets without a suspect. They wait, since refusing them would fail the
         # unrelated requests among them.
-        choice = self._placement.best(work, now_seconds, work.excluded, ahead_of)
+        choice = self._placement.best(work, now_seconds, work.excluded, waiting_ahead)
         return None if choice is None else replace(choice, can_take=False)
 
     def _choose_assigned(
@@ -63,7 +65,7 @@
         work: Work,
         now_seconds: float,
         avoid: frozenset[TargetId],
-        ahead_of: Ahead,
+        waiting_ahead: WaitingByTarget,
     ) -> Choice | None:
         """Choose the target assigned to this suspect by its rank.
 
@@ -81,7 +83,7 @@
             return None
         assigned = targets[rank % len(targets)]
         others = avoid | (frozenset(targets) - {assigned})
-        choice = self._placement.best(work, now_seconds, others, ahead_of)
+        choice = self._placement.best(work, now_seconds, others, waiting_ahead)
         return choice if choice is not None and choice.can_take else None
 
     def _targets_with_suspects(self, now_seconds: float) -> frozenset[TargetId]:
--- a/lycheepost/decide/paces.py
+++ b/lycheepost/decide/throttling.py
@@ -1,4 +1,4 @@
-"""When one daemon may send to targets that limit it or have asked for a back-off."""
+"""Applies the rate limits and back-offs that targets ask for."""
 
 import random
 from collections.abc import Mapping
@@ -8,12 +8,12 @@
 from lycheepost.decide.requestpacer import RequestPacer, make_request_pacer
 
 
-class TargetPaces:
-    """Holds the targets of one group back, each as it has asked.
+class TargetThrottle:
+    """Throttles this daemon's requests to the targets of one group.
 
     Args:
         loads: The targets of the group.
-        rng: Draws the moments at which limited targets are sent to.
+        rng: Draws the send times for rate-limited targets.
     """
 
     def __init__(
@@ -21,7 +21,7 @@
     ) -> None:
         self._loads = loads
         self._rng = rng
-        self._paces: dict[TargetId, RequestPacer] = {}
+        self._rate_limiters: dict[TargetId, RequestPacer] = {}
 
     def set_limit(
         self,
@@ -30,35 +30,36 @@
         n_daemons: int,
         now_seconds: float,
     ) -> None:
-        """Follow the limit of a target; None where it has none.
+        """Set the rate limit of a target.
 
         Args:
             target: The target.
-            per_second: Requests that it takes from all daemons.
+            per_second: Requests per second that it accepts from all daemons together;
+                None for no limit.
             n_daemons: Daemons that the limit is divided among.
-            now_seconds: The present time.
+            now_seconds: The current time.
         """
         load = self._loads[target]
         if per_second is None:
-            load.pace = None
+            load.rate_limiter = None
             self.forget(target)
-        elif load.pace is None:
-            load.pace = make_request_pacer(
+        elif load.rate_limiter is None:
+            load.rate_limiter = make_request_pacer(
                 per_second, n_daemons, now_seconds, self._rng
             )
-            self._paces[target] = load.pace
+            self._rate_limiters[target] = load.rate_limiter
         else:
-            load.pace.change(per_second, n_daemons, now_seconds)
+            load.rate_limiter.change(per_second, n_daemons, now_seconds)
 
     def back_off(self, target: TargetId, until_seconds: float) -> None:
-        """Send a target nothing until then."""
+        """Send no requests to a target until ``until_seconds``."""
         self._loads[target].backoff_until_seconds = until_seconds
 
     def forget(self, target: TargetId) -> None:
-        """Forget the pace of a target that has no limit, or has left the group."""
-        self._paces.pop(target, None)
+        """Remove the limit of a target that has none any more, or left the group."""
+        self._rate_limiters.pop(target, None)
 
     def redraw_expired(self, now_seconds: float) -> None:
-        """Draw new moments where the last ones were left unused for too long."""
-        for pace in self._paces.values():
-            pace.redraw_expired(now_seconds, self._rng)
+        """Draw new send times where the last ones stayed unused for too long."""
+        for rate_limiter in self._rate_limiters.values():
+            rate_limiter.redraw_expired(now_seconds, self._rng)
