--- a/features/capacity/steps/capacity_steps.py
+++ b/features/capacity/steps/capacity_steps.py
@@ -382,7 +382,7 @@
 
 
 @then("no promise was broken and callers always had a target")
-def then_kept(context):
+def then_no_violations(context):
     assert context.world.tally.violations == [], context.world.tally.violations
     assert context.world.unserved == [], context.world.unserved
 
--- a/features/capacity/steps/scripted.py
+++ b/features/capacity/steps/scripted.py
@@ -19,7 +19,7 @@
 from lycheepost.state.revisions import make_revision_manager
 
 
-class Calm:
+class NoFaults:
     """Chance without faults: no delay, no lost answer, no pause."""
 
     lost_answers = 0
@@ -45,7 +45,7 @@
         self.n_targets = serving + standby
         self.n_standby = standby
         self.load_limit, self.min_serving = loads, floor
-        self.chance = Calm()
+        self.chance = NoFaults()
         self.is_disturbed = False
         self.unserved = []
 
--- a/features/capacity/steps/whole_steps.py
+++ b/features/capacity/steps/whole_steps.py
@@ -85,7 +85,7 @@
             await asyncio.gather(*senders)
             _, body = await call(session, fleet, 0, "GET", "/v1/fleet")
             context.fleet = body
-            context.told = await ask_revisions(body["daemons"])
+            context.reported_revisions = await ask_revisions(body["daemons"])
         context.held = [
             engine.desk.weights_version for engine in fleet.standins.engines
         ]
@@ -128,7 +128,9 @@
 @then("the fleet shows the last revision in force on every daemon")
 def then_revisions(context):
     names = [daemon["daemon_id"] for daemon in context.fleet["daemons"]]
-    assert context.told == dict.fromkeys(names, context.fleet["revision"]), context.told
+    assert context.reported_revisions == dict.fromkeys(
+        names, context.fleet["revision"]
+    ), context.reported_revisions
     assert len(names) == 3, names
 
 
--- a/features/operators/steps/plan_steps.py
+++ b/features/operators/steps/plan_steps.py
@@ -187,12 +187,12 @@
     (name,) = context.answer[1]["intents"]
     document = {"kind": "pause_intent", "intent": name}
     plan = context.world.plan(1, document, "ben")
-    keeper = context.world.keepers[0]
+    manager = context.world.managers[0]
     basis = context.world.configuration(0)
     intent = basis.capacity_intents[0]
     moved = dataclasses.replace(intent, note="moved")
     changed = dataclasses.replace(basis, capacity_intents=[moved])
-    context.world.run(keeper.commit(basis.revision, changed))
+    context.world.run(manager.commit(basis.revision, changed))
     context.answer = context.world.confirm(1, plan["plan_id"], "ben")
 
 
@@ -229,9 +229,9 @@
 def then_key_works(context, name):
     (shown,) = context.answer[1]["keys"]
     context.shown = shown["key"]
-    for n, keeper in enumerate(context.world.keepers):
+    for n, manager in enumerate(context.world.managers):
         context.world.configuration(n)
-        found = keeper.view.customer_by_key_hash[hash_key(shown["key"])]
+        found = manager.view.customer_by_key_hash[hash_key(shown["key"])]
         assert found.customer == name == shown["customer"]
 
 
--- a/features/operators/steps/tls_steps.py
+++ b/features/operators/steps/tls_steps.py
@@ -36,7 +36,7 @@
         certificate_path=str(folder / "cert.pem"), key_path=str(folder / "key.pem")
     )
     write_pair(context, *context.pairs["A"])
-    context.keeper = make_tls_manager("callers", context.tls).unwrap()
+    context.manager = make_tls_manager("callers", context.tls).unwrap()
     context.trust = ssl.create_default_context()
     context.ca.configure_trust(context.trust)
     context.loop.run_until_complete(open_listener(context))
@@ -58,7 +58,7 @@
     context.runner = web.AppRunner(app)
     await context.runner.setup()
     site = web.TCPSite(
-        context.runner, "127.0.0.1", 0, ssl_context=context.keeper.context
+        context.runner, "127.0.0.1", 0, ssl_context=context.manager.context
     )
     await site.start()
     context.port = context.runner.addresses[0][1]
@@ -96,7 +96,7 @@
             "an empty file": (b"", b_key),
         }
         write_pair(context, *pairs[change])
-    context.keeper.reload()
+    context.manager.reload()
 
 
 @then("a new connection by {address} sees certificate {name}")
--- a/features/operators/steps/world.py
+++ b/features/operators/steps/world.py
@@ -89,27 +89,27 @@
                 WeightsInfo(ModelId("reader"), WeightsVersion(version), 10**9, 60.0)
             )
         self.clients = []
-        self.keepers = []
+        self.managers = []
 
     def run(self, coroutine):
         return self.context.loop.run_until_complete(coroutine)
 
     def add_daemon(self):
-        keeper = make_revision_manager(self.table, self.objects, self.clock)
+        manager = make_revision_manager(self.table, self.objects, self.clock)
         settings = OperatorSettings(
             key_hashes=[hash_key(k) for k in OPERATOR_KEYS.values()]
         )
         app = web.Application()
         app.add_routes(
             make_operator_routes(
-                OperatorDeps(keeper, self.table, self.clock, settings, self.weights)
+                OperatorDeps(manager, self.table, self.clock, settings, self.weights)
             )
         )
         client = TestClient(TestServer(app), loop=self.context.loop)
         self.run(client.start_server())
         self.context.closers.append(client.close)
         self.clients.append(client)
-        self.keepers.append(keeper)
+        self.managers.append(manager)
 
     def call(self, daemon, method, path, document=None, key="lpo-ada", headers=None):
         return self.run(self.acall(daemon, method, path, document, key, headers))
@@ -142,5 +142,5 @@
         )
 
     def configuration(self, daemon):
-        self.run(self.keepers[daemon].refresh())
-        return self.keepers[daemon].view.configuration
+        self.run(self.managers[daemon].refresh())
+        return self.managers[daemon].view.configuration
--- a/features/state/steps/targetlist_steps.py
+++ b/features/state/steps/targetlist_steps.py
@@ -17,7 +17,7 @@
 from lycheepost.decide.leaving import LeavingTargets
 from lycheepost.decide.records import TargetState
 from lycheepost.generated.messages import TargetsChanging
-from lycheepost.operators.weightsnews import to_changes, to_message
+from lycheepost.operators.weightsupdates import to_changes, to_message
 from lycheepost.state.targetlist import TargetList, WeightsChange
 
 MODEL = ModelId("m")
--- a/lycheepost/app/platformpeers.py
+++ b/lycheepost/app/platformpeers.py
@@ -20,8 +20,8 @@
 from lycheepost.decide.rollout import MAX_DRAIN_SECONDS, MIN_DRAIN_SECONDS
 from lycheepost.generated.configuration import Configuration
 from lycheepost.generated.messages import LeaseNews, TargetsChanging
-from lycheepost.operators.weightsnews import to_changes
 from lycheepost.operators.weightsrollout import WeightsRollout
+from lycheepost.operators.weightsupdates import to_changes
 from lycheepost.peers.exchange import PeerExchange, make_peer_exchange
 from lycheepost.peers.feedshare import SharedFeed
 from lycheepost.peers.membership import MemberExchange
@@ -215,7 +215,7 @@
         lambda model: _groups_of(get_table(), model),
         peers.exchange.broadcast,
         count_running,
-        most_alone_seconds=(
+        max_drain_seconds=(
             MIN_DRAIN_SECONDS
             if Mechanism.RUNS_END in base.switched_off
             else MAX_DRAIN_SECONDS
--- a/lycheepost/bench/capacity_world.py
+++ b/lycheepost/bench/capacity_world.py
@@ -229,7 +229,7 @@
         try:
             while True:
                 self.judge.look_began[index] = clock.now_seconds()
-                await runner.look()
+                await runner.tick()
                 self.judge.look_began.pop(index)
                 await asyncio.sleep(self.settings.capacity_tick_seconds)
         finally:
--- a/lycheepost/operators/access.py
+++ b/lycheepost/operators/access.py
@@ -18,7 +18,7 @@
 from lycheepost.utils.keys import hash_key
 
 _SCHEME = "bearer"
-_NAME_CHARACTERS = 12
+_OPERATOR_NAME_LENGTH = 12
 
 
 @dataclass(frozen=True)
@@ -44,7 +44,7 @@
         return Failure(_not_authenticated("The call carries no bearer key."))
     key_hash = hash_key(key)
     if any(hmac.compare_digest(key_hash, known) for known in deps.settings.key_hashes):
-        return Success(Operator(key_hash[:_NAME_CHARACTERS], key))
+        return Success(Operator(key_hash[:_OPERATOR_NAME_LENGTH], key))
     if key_hash in deps.revisions.view.customer_by_key_hash:
         reason = "A caller key does not open the operators' API."
         return Failure(OperatorError(reason, OperatorErrorKind.NOT_AN_OPERATOR))
--- a/lycheepost/operators/basis.py
+++ b/lycheepost/operators/basis.py
@@ -13,28 +13,28 @@
     Plan,
 )
 from lycheepost.operators.items import Draft, digest_item
-from lycheepost.operators.planning import KEPT_APPLIED_PLANS
+from lycheepost.operators.planning import MAX_APPLIED_PLANS
 from lycheepost.utils.documents import Fault
 
 
-def find_applied(configuration: Configuration, plan_id: str) -> AppliedPlan | None:
+def find_applied_plan(configuration: Configuration, plan_id: str) -> AppliedPlan | None:
     """Return the entry of a plan that this configuration remembers."""
     return next(
         (entry for entry in configuration.applied_plans if entry.plan == plan_id), None
     )
 
 
-def remembers_since(configuration: Configuration, revision: int) -> bool:
+def has_history_since(configuration: Configuration, revision: int) -> bool:
     """Return whether every plan confirmed after ``revision`` is remembered."""
     entries = configuration.applied_plans
-    return len(entries) < KEPT_APPLIED_PLANS or entries[0].revision <= revision
+    return len(entries) < MAX_APPLIED_PLANS or entries[0].revision <= revision
 
 
-def find_moved(
+def find_basis_changes(
     plan: Plan, configuration: Configuration, allow_unrelated: bool
 ) -> list[Fault]:
     """Return everything that moved since the plan's basis; empty to go on."""
-    moved = _find_moved_items(plan, configuration)
+    moved = _find_changed_items(plan, configuration)
     if allow_unrelated:
         return moved
     later = [
@@ -42,27 +42,27 @@
         for entry in configuration.applied_plans
         if entry.revision > plan.basis_revision
     ]
-    faults = moved + [_describe(entry) for entry in later]
-    if not remembers_since(configuration, plan.basis_revision):
+    faults = moved + [_describe_plan(entry) for entry in later]
+    if not has_history_since(configuration, plan.basis_revision):
         reason = "more plans were confirmed since than are remembered"
         faults.append(Fault("revision", str(configuration.revision), reason))
     return faults
 
 
-def _find_moved_items(plan: Plan, configuration: Configuration) -> list[Fault]:
+def _find_changed_items(plan: Plan, configuration: Configuration) -> list[Fault]:
     draft = Draft(configuration)
     faults = []
     for item in plan.basis:
         digest = digest_item(draft.find(item.subject))
         if digest != item.digest:
-            reason = _describe_move(item.digest, digest)
+            reason = _describe_change(item.digest, digest)
             faults.append(
                 Fault(item.subject, f"revision {configuration.revision}", reason)
             )
     return faults
 
 
-def _describe_move(before: str, after: str) -> str:
+def _describe_change(before: str, after: str) -> str:
     if not before:
         return "was created since the plan was made"
     if not after:
@@ -70,7 +70,7 @@
     return "was changed since the plan was made"
 
 
-def _describe(entry: AppliedPlan) -> Fault:
+def _describe_plan(entry: AppliedPlan) -> Fault:
     subjects = ", ".join(entry.subjects)
     reason = f"{entry.plan} was confirmed by {entry.operator} and changed {subjects}"
     return Fault("revision", str(entry.revision), reason)
--- a/lycheepost/operators/capacity.py
+++ b/lycheepost/operators/capacity.py
@@ -25,7 +25,7 @@
     TargetDesiredState,
     TargetGroupKind,
 )
-from lycheepost.operators.capacity_group import UNFINISHED, GroupWork
+from lycheepost.operators.capacity_group import UNFINISHED, GroupContext
 from lycheepost.operators.capacity_holds import fill_hold
 from lycheepost.operators.capacity_newsteps import (
     is_open,
@@ -42,10 +42,10 @@
     held_version,
 )
 from lycheepost.operators.capacity_repairs import plan_repairs
-from lycheepost.operators.capacity_steps import is_released, move_step
+from lycheepost.operators.capacity_steps import advance_step, is_released
 from lycheepost.operators.items import Draft
 
-_ORDER_OF_KINDS = (
+_KINDS_BY_PRIORITY = (
     CapacityIntentKind.REPAIR,
     CapacityIntentKind.HOLD_READY,
     CapacityIntentKind.NEW_WEIGHTS,
@@ -73,16 +73,16 @@
     draft = Draft(configuration)
     actions: list[CapacityAction] = []
     members = _group_targets(configuration)
-    at_work = _find_groups_at_work(configuration, members, observed)
+    active_groups = _find_active_groups(configuration, members, observed)
     for group in configuration.target_groups:
-        if group.target_group not in at_work:
+        if group.target_group not in active_groups:
             continue
         targets = members.get(group.target_group, [])
-        work = GroupWork(draft, group, targets, observed, now_wall_seconds)
+        context = GroupContext(draft, group, targets, observed, now_wall_seconds)
         if group.kind is TargetGroupKind.ENGINE:
-            plan_repairs(work, timing)
-        actions += _move_group(work, timing, configuration.revision + 1)
-        _forget_ended(work, timing)
+            plan_repairs(context, timing)
+        actions += _advance_group(context, timing, configuration.revision + 1)
+        _drop_old_intents(context, timing)
     changed = draft.finish()
     if changed == configuration:
         return CapacityDecision(None, tuple(actions))
@@ -97,7 +97,7 @@
     return members
 
 
-def _find_groups_at_work(
+def _find_active_groups(
     configuration: Configuration,
     members: dict[str, list[Target]],
     observed: Observations,
@@ -117,28 +117,28 @@
     return with_intents | with_wrong
 
 
-def _move_group(
-    work: GroupWork, timing: CapacityTiming, next_revision: int
+def _advance_group(
+    context: GroupContext, timing: CapacityTiming, next_revision: int
 ) -> list[CapacityAction]:
     actions = []
-    for name in _sort_intents(work):
-        _begin(work, work.intents[name])
-        if work.intents[name].kind is CapacityIntentKind.HOLD_READY:
-            fill_hold(work, work.intents[name])
-        for step in work.intents[name].steps:
-            intent = work.intents[name]
-            action = move_step(work, intent, step, timing, next_revision)
+    for name in _sort_intents(context):
+        _begin_intent(context, context.intents[name])
+        if context.intents[name].kind is CapacityIntentKind.HOLD_READY:
+            fill_hold(context, context.intents[name])
+        for step in context.intents[name].steps:
+            intent = context.intents[name]
+            action = advance_step(context, intent, step, timing, next_revision)
             if action is not None:
                 actions.append(action)
-        _end(work, work.intents[name])
+        _end_intent(context, context.intents[name])
     return actions
 
 
-def _sort_intents(work: GroupWork) -> list[str]:
+def _sort_intents(context: GroupContext) -> list[str]:
     intents = sorted(
-        work.intents.values(),
+        context.intents.values(),
         key=lambda item: (
-            _ORDER_OF_KINDS.index(item.kind),
+            _KINDS_BY_PRIORITY.index(item.kind),
             item.start_wall_seconds,
             item.intent,
         ),
@@ -147,70 +147,73 @@
 
 
 def _set_state(
-    work: GroupWork, intent: CapacityIntent, state: CapacityIntentState, note: str = ""
+    context: GroupContext,
+    intent: CapacityIntent,
+    state: CapacityIntentState,
+    note: str = "",
 ) -> None:
-    ended_seconds = 0.0 if state in UNFINISHED else work.now_wall_seconds
-    work.put_intent(
+    ended_seconds = 0.0 if state in UNFINISHED else context.now_wall_seconds
+    context.put_intent(
         dataclasses.replace(
             intent, state=state, note=note, ended_wall_seconds=ended_seconds
         )
     )
 
 
-def _begin(work: GroupWork, intent: CapacityIntent) -> None:
+def _begin_intent(context: GroupContext, intent: CapacityIntent) -> None:
     begin_seconds = intent.start_wall_seconds - intent.lead_seconds
-    is_due = work.now_wall_seconds >= begin_seconds
+    is_due = context.now_wall_seconds >= begin_seconds
     if intent.state is not CapacityIntentState.SCHEDULED or not is_due:
         return
     if intent.kind is CapacityIntentKind.NEW_WEIGHTS:
-        _begin_new_weights(work, intent)
+        _begin_new_weights(context, intent)
     elif intent.kind is not CapacityIntentKind.HOLD_READY:
         steps = [waiting_step(target, "") for target in intent.targets]
-        work.put_intent(dataclasses.replace(intent, steps=steps))
-    _set_state(work, work.intents[intent.intent], CapacityIntentState.RUNNING)
+        context.put_intent(dataclasses.replace(intent, steps=steps))
+    _set_state(context, context.intents[intent.intent], CapacityIntentState.RUNNING)
 
 
-def _begin_new_weights(work: GroupWork, intent: CapacityIntent) -> None:
+def _begin_new_weights(context: GroupContext, intent: CapacityIntent) -> None:
     """Let requests be served with both versions, and say who holds which.
 
     A target without a version of its own follows its model; when the model's
     version changes at the end, it must not seem to have changed with it.
     """
-    model = work.model()
+    model = context.model()
     if model is None:
         return
-    for target in list(work.targets.values()):
+    for target in list(context.targets.values()):
         if not target.weights_version:
             held = held_version(target, model)
-            work.put_target(dataclasses.replace(target, weights_version=held))
+            context.put_target(dataclasses.replace(target, weights_version=held))
     if intent.weights_version != model.weights_version:
         following = dataclasses.replace(
             model, next_weights_version=intent.weights_version
         )
-        work.draft.put(following)
-    _add_missing_steps(work, intent)
+        context.draft.put(following)
+    _add_missing_steps(context, intent)
 
 
-def _add_missing_steps(work: GroupWork, intent: CapacityIntent) -> bool:
+def _add_missing_steps(context: GroupContext, intent: CapacityIntent) -> bool:
     """Add a step for each target that does not hold the new version.
 
     A target whose step is done may have changed since: another intent loaded it
     again, or its VM came back after it seemed gone.
     """
-    model = work.model()
+    model = context.model()
     open_steps = {
-        step.target for step in work.intents[intent.intent].steps if is_open(step)
+        step.target for step in context.intents[intent.intent].steps if is_open(step)
     }
     missing = [
         target
-        for target in work.targets.values()
+        for target in context.targets.values()
         if target.desired_state is not TargetDesiredState.RETIRED
         and held_version(target, model) != intent.weights_version
         and target.target not in open_steps
-        and not work.observe(target.target).is_lost
+        and not context.observe(target.target).is_lost
     ]
     if missing:
-        work.put_steps(
+        context.put_steps(
             intent.intent,
             [
                 waiting_step(target.target, intent.weights_version)
@@ -220,65 +223,65 @@
     return bool(missing)
 
 
-def _end(work: GroupWork, intent: CapacityIntent) -> None:
+def _end_intent(context: GroupContext, intent: CapacityIntent) -> None:
     if intent.state is not CapacityIntentState.RUNNING:
         return
     failed = [
         step.target for step in intent.steps if step.state is CapacityStepState.FAILED
     ]
     if intent.kind is CapacityIntentKind.HOLD_READY:
-        is_over = 0 < intent.end_wall_seconds <= work.now_wall_seconds
+        is_over = 0 < intent.end_wall_seconds <= context.now_wall_seconds
         if is_over:
-            _set_state(work, intent, CapacityIntentState.DONE)
+            _set_state(context, intent, CapacityIntentState.DONE)
         return
     if len(failed) >= FAILED_TARGETS_LIMIT:
         note = f"stopped: {', '.join(failed)} failed"
-        _set_state(work, intent, CapacityIntentState.FAILED, note)
+        _set_state(context, intent, CapacityIntentState.FAILED, note)
         return
     ended = (CapacityStepState.DONE, CapacityStepState.FAILED)
     if any(step.state not in ended for step in intent.steps):
         return
     note = f"without {', '.join(failed)}, which failed" if failed else ""
     if intent.kind is CapacityIntentKind.NEW_WEIGHTS:
-        _end_new_weights(work, intent, note)
+        _end_new_weights(context, intent, note)
         return
     state = CapacityIntentState.DONE
     if failed and len(failed) == len(intent.steps):
         state = CapacityIntentState.FAILED
-    _set_state(work, intent, state, note)
+    _set_state(context, intent, state, note)
 
 
-def _end_new_weights(work: GroupWork, intent: CapacityIntent, note: str) -> None:
+def _end_new_weights(context: GroupContext, intent: CapacityIntent, note: str) -> None:
     """Let requests ask for the new version alone, once enough targets hold it."""
-    if _add_missing_steps(work, intent):
+    if _add_missing_steps(context, intent):
         return
-    model = work.model()
+    model = context.model()
     if model is None:
-        _set_state(work, intent, CapacityIntentState.FAILED, "the model is gone")
+        _set_state(context, intent, CapacityIntentState.FAILED, "the model is gone")
         return
-    if intent.steps and work.n_ready() < work.group.min_serving:
-        waits = f"waits: {work.n_ready()} of {work.group.min_serving} serve"
-        work.put_intent(dataclasses.replace(intent, note=waits))
+    if intent.steps and context.n_ready() < context.group.min_serving:
+        waits = f"waits: {context.n_ready()} of {context.group.min_serving} serve"
+        context.put_intent(dataclasses.replace(intent, note=waits))
         return
-    work.draft.put(_settle_version(model, intent.weights_version))
-    _set_state(work, intent, CapacityIntentState.DONE, note)
+    context.draft.put(_finish_version_change(model, intent.weights_version))
+    _set_state(context, intent, CapacityIntentState.DONE, note)
 
 
-def _settle_version(model: Model, version: str) -> Model:
+def _finish_version_change(model: Model, version: str) -> Model:
     return dataclasses.replace(model, weights_version=version, next_weights_version="")
 
 
-def _forget_ended(work: GroupWork, timing: CapacityTiming) -> None:
+def _drop_old_intents(context: GroupContext, timing: CapacityTiming) -> None:
     """Drop intents that ended long ago, so that the configuration stays small."""
-    for intent in list(work.intents.values()):
+    for intent in list(context.intents.values()):
         if intent.state in UNFINISHED:
             continue
-        is_busy = work.may_still_load(intent) or any(
+        is_busy = context.may_still_load(intent) or any(
             step.state in ACTIVE_STEPS for step in intent.steps
         )
         is_old = (
-            work.now_wall_seconds
+            context.now_wall_seconds
             >= intent.ended_wall_seconds + timing.keep_ended_seconds
         )
         if is_old and not is_busy and not (is_released(intent) and intent.steps):
-            work.draft.drop(f"capacity_intents/{intent.intent}")
+            context.draft.drop(f"capacity_intents/{intent.intent}")
--- a/lycheepost/operators/capacity_changes.py
+++ b/lycheepost/operators/capacity_changes.py
@@ -29,6 +29,7 @@
 from lycheepost.generated.operators import (
     PlanConflict,
 )
+from lycheepost.operators.capacity_control import IntentControl, control_intent
 from lycheepost.operators.capacity_estimates import (
     CapacityContext,
     estimate_load,
@@ -43,14 +44,13 @@
     accepted_versions,
     held_version,
 )
-from lycheepost.operators.capacity_steering import Steering, steer_intent
 from lycheepost.operators.change_results import Applied, ChangeResult, check_present
 from lycheepost.operators.items import Draft
 from lycheepost.operators.target_changes import check_enough_serving
 from lycheepost.utils.documents import Fault
 
 NewCapacity = HoldReady | Retire | NewWeights | ChangeRole
-CapacityChange = NewCapacity | Steering
+CapacityChange = NewCapacity | IntentControl
 
 
 def apply_capacity_change(
@@ -67,7 +67,7 @@
         case ChangeRole():
             return _change_role(draft, change, context)
         case PauseIntent() | ResumeIntent() | CancelIntent():
-            return steer_intent(draft, change, context)
+            return control_intent(draft, change, context)
 
 
 def _check_group(
--- a/lycheepost/operators/capacity_steering.py
+++ b/lycheepost/operators/capacity_control.py
@@ -18,26 +18,26 @@
 from lycheepost.operators.items import Draft
 from lycheepost.utils.documents import Fault
 
-Steering = PauseIntent | ResumeIntent | CancelIntent
+IntentControl = PauseIntent | ResumeIntent | CancelIntent
 
-_STEERED_FROM = {
+_ALLOWED_STATES = {
     PauseIntent: {CapacityIntentState.SCHEDULED, CapacityIntentState.RUNNING},
     ResumeIntent: {CapacityIntentState.PAUSED, CapacityIntentState.FAILED},
     CancelIntent: set(UNFINISHED),
 }
-_STEERED_TO = {
+_NEXT_STATE = {
     PauseIntent: CapacityIntentState.PAUSED,
     CancelIntent: CapacityIntentState.CANCELLED,
 }
-_STEERED_ACTION = {
+_ACTION_NAME = {
     PauseIntent: "pause_intent",
     ResumeIntent: "resume_intent",
     CancelIntent: "cancel_intent",
 }
 
 
-def steer_intent(
-    draft: Draft, change: Steering, context: CapacityContext
+def control_intent(
+    draft: Draft, change: IntentControl, context: CapacityContext
 ) -> ChangeResult:
     """Change the state of an intent as an operator asks."""
     subject = f"capacity_intents/{change.intent}"
@@ -46,7 +46,7 @@
         return faults
     intent = draft.find(subject)
     kind = type(change)
-    if intent.state not in _STEERED_FROM[kind]:
+    if intent.state not in _ALLOWED_STATES[kind]:
         return [Fault("intent", change.intent, f"is {intent.state.value}")]
     if isinstance(change, ResumeIntent):
         draft.put(_resume(intent))
@@ -56,12 +56,12 @@
             ended_seconds = context.now_wall_seconds
         draft.put(
             dataclasses.replace(
-                intent, state=_STEERED_TO[kind], ended_wall_seconds=ended_seconds
+                intent, state=_NEXT_STATE[kind], ended_wall_seconds=ended_seconds
             )
         )
     n_open = sum(step.state is not CapacityStepState.DONE for step in intent.steps)
     detail = f"{intent.kind.value}, {n_open} of {len(intent.steps)} steps open"
-    return Applied(_STEERED_ACTION[kind], subject, detail)
+    return Applied(_ACTION_NAME[kind], subject, detail)
 
 
 def _resume(intent: CapacityIntent) -> CapacityIntent:
--- a/lycheepost/operators/capacity_group.py
+++ b/lycheepost/operators/capacity_group.py
@@ -1,6 +1,6 @@
 """One target group while capacity steps are decided: who serves, who loads.
 
-Two counts guard everything. ``loads`` holds every target that may be reading
+Two counts guard everything. ``loading_targets`` holds every target that may be reading
 weights: each with a draining or loading step, each that says so itself, and each
 whose load failed without proof that it stopped. ``n_ready`` holds only targets
 that surely serve all their traffic. Both err towards doing less.
@@ -45,10 +45,10 @@
     }
 )
 _SLOT_STEPS = frozenset({CapacityStepState.DRAINING, CapacityStepState.LOADING})
-_STOPPED_STEPS = frozenset({CapacityStepState.WAITING, CapacityStepState.FAILED})
+_INACTIVE_STEPS = frozenset({CapacityStepState.WAITING, CapacityStepState.FAILED})
 
 
-class GroupWork:
+class GroupContext:
     """The targets, intents and steps of one group, as a draft of the next revision.
 
     Args:
@@ -71,9 +71,9 @@
         self.group = group
         self.now_wall_seconds = now_wall_seconds
         self._observed = observed
-        self._loads: set[str] | None = None
+        self._loading_targets: set[str] | None = None
         self._n_ready: int | None = None
-        self._busy: set[str] | None = None
+        self._busy_targets: set[str] | None = None
         self.targets = {target.target: target for target in targets}
         self.intents: dict[str, CapacityIntent] = {
             intent.intent: intent
@@ -108,7 +108,7 @@
         )
         self.intents[intent.intent] = counted
         self.draft.put(counted)
-        self._loads = self._n_ready = self._busy = None
+        self._loading_targets = self._n_ready = self._busy_targets = None
 
     def put_steps(self, intent: str, steps: Iterable[CapacityStep]) -> None:
         """Change the steps of some targets, or add them.
@@ -138,25 +138,25 @@
 
     def busy_targets(self) -> set[str]:
         """Return the targets that are in the midst of a step."""
-        if self._busy is None:
-            self._busy = {
+        if self._busy_targets is None:
+            self._busy_targets = {
                 step.target for _, step in self.steps() if step.state in ACTIVE_STEPS
             }
-        return self._busy
+        return self._busy_targets
 
-    def loads(self) -> set[str]:
+    def loading_targets(self) -> set[str]:
         """Return every target that may be reading weights now or shortly."""
-        if self._loads is None:
-            self._loads = self._find_loads()
-        return self._loads
+        if self._loading_targets is None:
+            self._loading_targets = self._find_loading_targets()
+        return self._loading_targets
 
-    def _find_loads(self) -> set[str]:
+    def _find_loading_targets(self) -> set[str]:
         loading = {name for name in self.targets if self.observe(name).is_loading}
         for intent, step in self.steps():
             takes_slot = intent.kind is not CapacityIntentKind.RETIRE
             if takes_slot and step.state in _SLOT_STEPS:
                 loading.add(step.target)
-            was_ordered = step.state in _STOPPED_STEPS and step.desired_version > 0
+            was_ordered = step.state in _INACTIVE_STEPS and step.desired_version > 0
             if was_ordered and self._may_load(step.target):
                 loading.add(step.target)
         return loading
@@ -173,10 +173,13 @@
             return False
         return observed.health is None or observed.is_loading
 
-    def has_free_load(self, target: str) -> bool:
+    def has_free_load_slot(self, target: str) -> bool:
         """Return whether ``target`` may begin to load."""
-        loads = self.loads()
-        return len(loads) - (target in loads) < self.group.concurrent_loads
+        loading_targets = self.loading_targets()
+        return (
+            len(loading_targets) - (target in loading_targets)
+            < self.group.concurrent_loads
+        )
 
     def is_ready(self, target: Target) -> bool:
         """Return whether a target surely serves its full share of traffic."""
@@ -209,7 +212,7 @@
             self._n_ready = sum(map(self.is_ready, self.targets.values()))
         return self._n_ready
 
-    def floor(self) -> int:
+    def required_serving(self) -> int:
         """Return how many targets must be serving at any time now."""
         holds = [
             intent.n_targets
@@ -223,14 +226,14 @@
     def may_take_out(self, target: Target) -> bool:
         """Return whether enough others serve for ``target`` to stop."""
         if self.is_ready(target):
-            return self.n_ready() - 1 >= self.floor()
-        if self.is_useless(target):
+            return self.n_ready() - 1 >= self.required_serving()
+        if self.has_unrequested_weights(target):
             return True
         # It does not serve, as far as is known. But if it is only unseen, taking
         # it out while too few are ready would end what it may yet do.
-        return self.n_ready() >= self.floor()
+        return self.n_ready() >= self.required_serving()
 
-    def is_useless(self, target: Target) -> bool:
+    def has_unrequested_weights(self, target: Target) -> bool:
         """Return whether a target answers and has weights nobody asks it for."""
         observed = self.observe(target.target)
         answers = observed.health is not None
@@ -238,7 +241,7 @@
 
     def may_still_load(self, intent: CapacityIntent) -> bool:
         """Return whether an intent's record keeps a load slot taken."""
-        return bool(self.loads() & {step.target for step in intent.steps})
+        return bool(self.loading_targets() & {step.target for step in intent.steps})
 
 
 def find_overlaps(
--- a/lycheepost/operators/capacity_holds.py
+++ b/lycheepost/operators/capacity_holds.py
@@ -10,7 +10,7 @@
     CapacityStepState,
     TargetDesiredState,
 )
-from lycheepost.operators.capacity_group import GroupWork
+from lycheepost.operators.capacity_group import GroupContext
 from lycheepost.operators.capacity_newsteps import (
     is_open,
     spread_over_zones,
@@ -20,34 +20,34 @@
 from lycheepost.operators.capacity_steps import is_released
 
 
-def fill_hold(work: GroupWork, intent: CapacityIntent) -> None:
+def fill_hold(context: GroupContext, intent: CapacityIntent) -> None:
     """Keep enough steps under way for the held number to serve."""
     if is_released(intent):
-        _release(work, intent)
+        _release(context, intent)
         return
     if intent.state is not CapacityIntentState.RUNNING:
         return
-    model = work.model()
+    model = context.model()
     # While the model changes, what comes up now comes up with the new weights.
     version = "" if model is None else newest_version(model)
-    coming = {
+    starting = {
         step.target
-        for owner, step in work.steps()
-        if _will_serve(owner, step) and not work.is_ready_name(step.target)
+        for owner, step in context.steps()
+        if _will_serve(owner, step) and not context.is_ready_name(step.target)
     }
-    n_missing = intent.n_targets - work.n_ready() - len(coming)
-    busy = {step.target for _, step in work.steps() if is_open(step)}
+    n_missing = intent.n_targets - context.n_ready() - len(starting)
+    busy = {step.target for _, step in context.steps() if is_open(step)}
     spare = [
         target
-        for target in work.targets.values()
+        for target in context.targets.values()
         if target.desired_state is TargetDesiredState.STANDBY
         and target.target not in busy
-        and work.observe(target.target).health is not None
+        and context.observe(target.target).health is not None
     ]
     chosen = spread_over_zones(spare)[: max(0, n_missing)]
     if chosen:
         steps = [waiting_step(target.target, version) for target in chosen]
-        work.put_steps(intent.intent, steps)
+        context.put_steps(intent.intent, steps)
 
 
 def _will_serve(intent: CapacityIntent, step: CapacityStep) -> bool:
@@ -57,25 +57,25 @@
     return is_hold and step.state is CapacityStepState.WAITING
 
 
-def _release(work: GroupWork, intent: CapacityIntent) -> None:
+def _release(context: GroupContext, intent: CapacityIntent) -> None:
     """Let the targets of an ended hold stand by again, as far as others serve."""
-    elsewhere = {
+    busy_elsewhere = {
         step.target
-        for owner, step in work.steps()
+        for owner, step in context.steps()
         if owner.intent != intent.intent and step.state in ACTIVE_STEPS
     }
     for step in intent.steps:
-        target = work.targets.get(step.target)
+        target = context.targets.get(step.target)
         if step.state is CapacityStepState.WAITING or target is None:
-            work.drop_step(intent.intent, step.target)
+            context.drop_step(intent.intent, step.target)
             continue
         if step.state not in (CapacityStepState.WARMING, CapacityStepState.DONE):
             continue
-        if step.target in elsewhere:
+        if step.target in busy_elsewhere:
             continue
         if target.desired_state is not TargetDesiredState.SERVING:
-            work.drop_step(intent.intent, step.target)
-        elif work.may_take_out(target):
+            context.drop_step(intent.intent, step.target)
+        elif context.may_take_out(target):
             standby = TargetDesiredState.STANDBY
-            work.put_target(dataclasses.replace(target, desired_state=standby))
-            work.drop_step(intent.intent, step.target)
+            context.put_target(dataclasses.replace(target, desired_state=standby))
+            context.drop_step(intent.intent, step.target)
--- a/lycheepost/operators/capacity_watch.py
+++ b/lycheepost/operators/capacity_observer.py
@@ -39,15 +39,15 @@
 from lycheepost.ports.vms import VmRole
 from lycheepost.state.view import ConfigurationView
 
-_WAITING_READ_PER_INTENT = 8
-_VM_LIST_SECONDS = 10.0
+_MAX_WAITING_READS_PER_INTENT = 8
+_VM_LIST_INTERVAL_SECONDS = 10.0
 _GONE_AFTER_SECONDS = 60.0
 """A target counts as gone once the list has been without it for this long: one
 listing may be partial, and a slot freed too soon lets one load too many begin."""
 
 
 @dataclass
-class Listing:
+class VmListing:
     """Targets that the VM list has named, and since when it does not."""
 
     absent_since_seconds: dict[TargetId, float]
@@ -55,7 +55,7 @@
     read_seconds: float = float("-inf")
 
 
-class CapacityWatch:
+class CapacityObserver:
     """Asks targets and remembers what it must between two looks.
 
     Args:
@@ -68,14 +68,14 @@
         self._wrong_since_seconds: dict[TargetId, float] = {}
         self._loading: dict[TargetId, EngineHealth] = {}
         self._silent: set[TargetId] = set()
-        self._unread: set[TargetId] = set()
+        self._not_yet_read: set[TargetId] = set()
         self._cursor = 0
-        self._listing = Listing({}, set())
+        self._listing = VmListing({}, set())
 
-    def forget(self, configuration: Configuration) -> None:
+    def reset(self, configuration: Configuration) -> None:
         """Begin as a new holder: every target with open intents is to be asked."""
         groups = open_groups(configuration)
-        self._unread = {
+        self._not_yet_read = {
             TargetId(target.target)
             for target in _engine_targets(configuration)
             if target.target_group in groups
@@ -87,7 +87,7 @@
     @property
     def has_read_back(self) -> bool:
         """Return whether every target to be asked at first has been asked."""
-        return not self._unread
+        return not self._not_yet_read
 
     async def observe(self, view: ConfigurationView) -> dict[TargetId, Observed]:
         """Ask the targets that matter now; return what is known of them.
@@ -97,44 +97,47 @@
         """
         await self._read_listing()
         configuration = view.configuration
-        chosen = self._choose(configuration, view.targets)
-        draining = _targets_in(configuration, {CapacityStepState.DRAINING})
+        chosen = self._choose_targets(configuration, view.targets)
+        draining = _targets_in_states(configuration, {CapacityStepState.DRAINING})
         answers = await asyncio.gather(
-            *(self._ask(view.targets[name], name in draining) for name in chosen)
+            *(
+                self._read_target(view.targets[name], name in draining)
+                for name in chosen
+            )
         )
-        told = dict(zip(chosen, answers, strict=True))
-        self._unread &= set(view.targets) - set(chosen)
-        self._note(view, told)
-        return self._join(view, told)
+        answered = dict(zip(chosen, answers, strict=True))
+        self._not_yet_read &= set(view.targets) - set(chosen)
+        self._note_answers(view, answered)
+        return self._merge(view, answered)
 
-    def _choose(
+    def _choose_targets(
         self, configuration: Configuration, targets: dict[TargetId, Target]
     ) -> list[TargetId]:
         limit = self._deps.settings.capacity_reads_per_tick
-        stepping = _targets_in(configuration, set(ACTIVE_STEPS)) | _ordered(
-            configuration
-        )
+        stepping = _targets_in_states(
+            configuration, set(ACTIVE_STEPS)
+        ) | _possibly_loading(configuration)
         first = dict.fromkeys([*stepping, *self._loading, *self._wrong_since_seconds])
         # The limit bounds the others only: were targets in the midst of a step
         # to use it up, a new holder would never have asked all the rest. And half
         # of it is kept for turns, or a target that came back from a crash with
         # other weights would count as serving for as long as steps wait.
-        heads = [*sorted(self._unread), *_waiting_heads(configuration)]
-        heads = heads[: limit if self._unread else limit // 2]
-        asked = dict.fromkeys([*first, *heads])
+        next_reads = [*sorted(self._not_yet_read), *_next_waiting(configuration)]
+        next_reads = next_reads[: limit if self._not_yet_read else limit // 2]
+        asked = dict.fromkeys([*first, *next_reads])
         names = [TargetId(item.target) for item in _engine_targets(configuration)]
         rest = [name for name in names if name not in asked]
-        turns = self._next_by_turns(rest, limit - len(heads))
-        return [name for name in [*asked, *turns] if name in targets]
+        round_robin = self._next_round_robin(rest, limit - len(next_reads))
+        return [name for name in [*asked, *round_robin] if name in targets]
 
-    def _next_by_turns(self, names: list[TargetId], n: int) -> list[TargetId]:
+    def _next_round_robin(self, names: list[TargetId], n: int) -> list[TargetId]:
         if not names:
             return []
         start = self._cursor % len(names)
         self._cursor = start + n
         return (names[start:] + names[:start])[:n]
 
-    async def _ask(self, target: Target, with_load: bool) -> Observed:
+    async def _read_target(self, target: Target, with_load: bool) -> Observed:
         read = await self._deps.orders.read_state(target)
         health = read.unwrap() if isinstance(read, Success) else None
         n_running = None
@@ -153,10 +156,12 @@
             load_wall_seconds=load_wall_seconds,
         )
 
-    def _note(self, view: ConfigurationView, told: dict[TargetId, Observed]) -> None:
+    def _note_answers(
+        self, view: ConfigurationView, answered: dict[TargetId, Observed]
+    ) -> None:
         models = {model.target_group: model for model in view.configuration.models}
         now_seconds = self._clock.now_seconds()
-        for name, answer in told.items():
+        for name, answer in answered.items():
             if answer.health is None:
                 self._silent.add(name)
                 # A target that is silent since it was seen loading, or with
@@ -177,27 +182,27 @@
                 del remembered[name]
         self._silent &= set(view.targets)
 
-    def _join(
-        self, view: ConfigurationView, told: dict[TargetId, Observed]
+    def _merge(
+        self, view: ConfigurationView, answered: dict[TargetId, Observed]
     ) -> dict[TargetId, Observed]:
         groups = {intent.target_group for intent in view.configuration.capacity_intents}
         groups |= {
             view.targets[name].target_group for name in self._wrong_since_seconds
         }
-        names = dict.fromkeys(told)
+        names = dict.fromkeys(answered)
         for group in groups:
             members = view.targets_by_group.get(TargetGroupId(group), ())
             names.update((TargetId(target.target), None) for target in members)
         states = self._deps.states()
         now_seconds = self._clock.now_seconds()
         return {
-            name: self._join_one(
-                name, told.get(name, UNSEEN), states.get(name), now_seconds
+            name: self._merge_one(
+                name, answered.get(name, UNSEEN), states.get(name), now_seconds
             )
             for name in names
         }
 
-    def _join_one(
+    def _merge_one(
         self,
         name: TargetId,
         answer: Observed,
@@ -206,10 +211,10 @@
     ) -> Observed:
         # What was last seen silent or wrong is not ready until it is seen well,
         # whatever others say of it.
-        is_doubtful = name in self._wrong_since_seconds or name in self._silent
+        is_unreliable = name in self._wrong_since_seconds or name in self._silent
         wrong_since = self._wrong_since_seconds.get(name, now_seconds)
         return Observed(
-            is_serving=state is TargetState.SERVING and not is_doubtful,
+            is_serving=state is TargetState.SERVING and not is_unreliable,
             is_gone=self._is_gone(name, now_seconds),
             health=answer.health or self._loading.get(name),
             n_running=answer.n_running,
@@ -224,7 +229,7 @@
     async def _read_listing(self) -> None:
         now_seconds = self._clock.now_seconds()
         listing = self._listing
-        is_fresh = now_seconds - listing.read_seconds < _VM_LIST_SECONDS
+        is_fresh = now_seconds - listing.read_seconds < _VM_LIST_INTERVAL_SECONDS
         if self._deps.vms is None or is_fresh:
             return
         listing.read_seconds = now_seconds
@@ -248,8 +253,8 @@
         return False
     held = held_version(target, model)
     is_unwanted = model is not None and held not in accepted_versions(model)
-    stands_by = health.state is EngineHealthState.STANDBY
-    return is_unwanted or stands_by or held not in ("", health.weights_version)
+    is_standby = health.state is EngineHealthState.STANDBY
+    return is_unwanted or is_standby or held not in ("", health.weights_version)
 
 
 def open_groups(configuration: Configuration) -> set[str]:
@@ -279,7 +284,7 @@
     return any(step.state in ACTIVE_STEPS for step in steps)
 
 
-def _targets_in(
+def _targets_in_states(
     configuration: Configuration, states: set[CapacityStepState]
 ) -> set[TargetId]:
     return {
@@ -290,7 +295,7 @@
     }
 
 
-def _ordered(configuration: Configuration) -> set[TargetId]:
+def _possibly_loading(configuration: Configuration) -> set[TargetId]:
     """Return targets whose step stopped after an order: they may be loading."""
     stopped = (CapacityStepState.WAITING, CapacityStepState.FAILED)
     return {
@@ -301,7 +306,7 @@
     }
 
 
-def _waiting_heads(configuration: Configuration) -> list[TargetId]:
+def _next_waiting(configuration: Configuration) -> list[TargetId]:
     names: list[TargetId] = []
     for intent in configuration.capacity_intents:
         if intent.state in UNFINISHED:
@@ -310,5 +315,5 @@
                 for step in intent.steps
                 if step.state is CapacityStepState.WAITING
             ]
-            names += waiting[:_WAITING_READ_PER_INTENT]
+            names += waiting[:_MAX_WAITING_READS_PER_INTENT]
     return names
--- a/lycheepost/operators/capacity_repairs.py
+++ b/lycheepost/operators/capacity_repairs.py
@@ -12,7 +12,7 @@
     Target,
     TargetDesiredState,
 )
-from lycheepost.operators.capacity_group import UNFINISHED, GroupWork
+from lycheepost.operators.capacity_group import UNFINISHED, GroupContext
 from lycheepost.operators.capacity_newsteps import waiting_step
 from lycheepost.operators.capacity_records import (
     ACTIVE_STEPS,
@@ -23,33 +23,35 @@
 )
 
 
-def plan_repairs(work: GroupWork, timing: CapacityTiming) -> None:
+def plan_repairs(context: GroupContext, timing: CapacityTiming) -> None:
     """Load again what a target should hold and does not.
 
     An engine that crashed comes back with the weights it boots with; a target
     that ignores fencing may have taken a late order of an earlier holder. Both
     refuse every request meant for them until they hold what is recorded.
     """
-    model = work.model()
+    model = context.model()
     if model is None:
         return
-    name = f"repair-{work.group.target_group}"
-    claimed = {step.target for intent, step in work.steps() if _claims(intent, step)}
+    name = f"repair-{context.group.target_group}"
+    already_handled = {
+        step.target for intent, step in context.steps() if _will_load(intent, step)
+    }
     wrong = [
         target
-        for target in work.targets.values()
+        for target in context.targets.values()
         if target.desired_state is TargetDesiredState.SERVING
-        and target.target not in claimed
-        and _is_wrong(work, target, model, timing)
+        and target.target not in already_handled
+        and _is_wrong(context, target, model, timing)
     ]
     if not wrong:
         return
-    if name not in work.intents or work.intents[name].state not in UNFINISHED:
-        work.put_intent(_make_repair(work, name, work.intents.get(name)))
-    work.put_steps(name, [_repair_step(target, model) for target in wrong])
+    if name not in context.intents or context.intents[name].state not in UNFINISHED:
+        context.put_intent(_make_repair(context, name, context.intents.get(name)))
+    context.put_steps(name, [_repair_step(target, model) for target in wrong])
 
 
-def _claims(intent: CapacityIntent, step: CapacityStep) -> bool:
+def _will_load(intent: CapacityIntent, step: CapacityStep) -> bool:
     """Return whether a step will load its target, so that no repair need.
 
     A step that waits in a paused intent, or to retire, would keep a target that
@@ -65,9 +67,9 @@
 
 
 def _is_wrong(
-    work: GroupWork, target: Target, model: Model, timing: CapacityTiming
+    context: GroupContext, target: Target, model: Model, timing: CapacityTiming
 ) -> bool:
-    observed = work.observe(target.target)
+    observed = context.observe(target.target)
     if observed.health is None:
         return False
     if held_version(target, model) not in accepted_versions(model):
@@ -82,7 +84,7 @@
 
 
 def _make_repair(
-    work: GroupWork, name: str, earlier: CapacityIntent | None
+    context: GroupContext, name: str, earlier: CapacityIntent | None
 ) -> CapacityIntent:
     steps = [] if earlier is None else earlier.steps
     # A failed load may still be under way: its record holds its slot.
@@ -90,9 +92,9 @@
     return CapacityIntent(
         intent=name,
         kind=CapacityIntentKind.REPAIR,
-        target_group=work.group.target_group,
+        target_group=context.group.target_group,
         state=CapacityIntentState.RUNNING,
-        start_wall_seconds=work.now_wall_seconds,
+        start_wall_seconds=context.now_wall_seconds,
         steps=failed,
         note="targets hold other weights than recorded",
     )
--- a/lycheepost/operators/capacity_runner.py
+++ b/lycheepost/operators/capacity_runner.py
@@ -21,6 +21,7 @@
 from lycheepost.generated.configuration import Configuration, Target
 from lycheepost.generated.engine import EngineHealth, EngineHealthState, EngineOrder
 from lycheepost.operators.capacity import decide_capacity
+from lycheepost.operators.capacity_observer import CapacityObserver
 from lycheepost.operators.capacity_ports import CapacityDeps
 from lycheepost.operators.capacity_records import (
     CapacityAction,
@@ -29,19 +30,18 @@
     OrderAction,
     WarmAction,
 )
-from lycheepost.operators.capacity_watch import CapacityWatch
 from lycheepost.state.leases import Lease, LeaseTaken
 from lycheepost.state.view import ConfigurationView
 from lycheepost.utils.tasks import start_task
 
 DUTY = "capacity"
-_SPREAD_SECONDS = 1.0
+_RETRY_JITTER_SECONDS = 1.0
 """Tries of several daemons for the duty do not fall together."""
-_SETTLED = (EngineHealthState.SERVING, EngineHealthState.STANDBY)
+_SETTLED_STATES = (EngineHealthState.SERVING, EngineHealthState.STANDBY)
 _log = structlog.get_logger(part="capacity")
 
 
-class Look(Enum):
+class TickResult(Enum):
     """What one look came to."""
 
     NO_DUTY = "no_duty"
@@ -61,16 +61,16 @@
 
     def __init__(self, deps: CapacityDeps, seed: int) -> None:
         self._deps = deps
-        self._random = random.Random(seed)
-        self._watch = CapacityWatch(deps)
+        self._rng = random.Random(seed)
+        self._observer = CapacityObserver(deps)
         self._lease: Lease | None = None
-        self._is_fresh = False
-        self._next_try_seconds = float("-inf")
+        self._is_refreshed = False
+        self._next_attempt_seconds = float("-inf")
         self._fenced: set[tuple[TargetId, str]] = set()
         self._warmed: set[tuple[TargetId, str]] = set()
         self._imports: set[asyncio.Task[None]] = set()
         self._task: asyncio.Task[None] | None = None
-        self._last_look = Look.NO_DUTY
+        self._last_result = TickResult.NO_DUTY
 
     async def start(self) -> None:
         """Begin to look."""
@@ -93,29 +93,29 @@
         return {
             "has_duty": lease is not None,
             "fencing_number": 0 if lease is None else lease.fencing_number,
-            "last_look": self._last_look.value,
+            "last_look": self._last_result.value,
         }
 
-    async def look(self) -> Look:
+    async def tick(self) -> TickResult:
         """Do everything that is due now, once."""
-        self._last_look = await self._look()
-        return self._last_look
-
-    async def _look(self) -> Look:
-        if not await self._keep_duty():
-            return Look.NO_DUTY
-        if not self._is_fresh and not await self._begin_duty():
-            return Look.NO_DUTY
+        self._last_result = await self._tick()
+        return self._last_result
+
+    async def _tick(self) -> TickResult:
+        if not await self._hold_lease():
+            return TickResult.NO_DUTY
+        if not self._is_refreshed and not await self._begin_duty():
+            return TickResult.NO_DUTY
         view = self._deps.revisions.view
         configuration = view.configuration
-        observed = await self._watch.observe(view)
-        unshown = await self._raise_fences(view, observed)
-        observed |= {name: _without_answer(observed[name]) for name in unshown}
-        if not self._holds():
+        observed = await self._observer.observe(view)
+        unfenced = await self._send_fencing_numbers(view, observed)
+        observed |= {name: _without_answer(observed[name]) for name in unfenced}
+        if not self._holds_lease():
             # A pause in the look outlasted the lease: what was seen is old.
-            return Look.NO_DUTY
-        if not self._watch.has_read_back:
-            return Look.READING_BACK
+            return TickResult.NO_DUTY
+        if not self._observer.has_read_back:
+            return TickResult.READING_BACK
         decision = decide_capacity(
             configuration,
             observed,
@@ -124,10 +124,10 @@
         )
         await self._act(configuration, decision.actions)
         if decision.configuration is None:
-            return Look.STEADY
+            return TickResult.STEADY
         return await self._record(configuration, decision.configuration)
 
-    async def _keep_duty(self) -> bool:
+    async def _hold_lease(self) -> bool:
         """Renew the lease or try for it; return whether it is held now."""
         now_seconds = self._deps.clock.now_seconds()
         lease = self._lease
@@ -139,19 +139,19 @@
                 _log.info("capacity: duty lost", fencing_number=lease.fencing_number)
                 self._lease = None
             return self._lease is not None
-        if now_seconds < self._next_try_seconds or not self._deps.is_candidate():
+        if now_seconds < self._next_attempt_seconds or not self._deps.is_candidate():
             return False
         acquired = await self._deps.leases.acquire(DUTY)
         if isinstance(acquired, Success):
             self._lease = acquired.unwrap()
-            self._is_fresh = False
+            self._is_refreshed = False
             return True
         error = acquired.failure()
         wait_seconds = self._deps.settings.capacity_tick_seconds
         if isinstance(error, LeaseTaken):
             wait_seconds = max(wait_seconds, error.retry_after_seconds)
-        wait_seconds += self._random.uniform(0.0, _SPREAD_SECONDS)
-        self._next_try_seconds = now_seconds + wait_seconds
+        wait_seconds += self._rng.uniform(0.0, _RETRY_JITTER_SECONDS)
+        self._next_attempt_seconds = now_seconds + wait_seconds
         return False
 
     async def _begin_duty(self) -> bool:
@@ -159,27 +159,27 @@
         refreshed = await self._deps.revisions.refresh()
         if not isinstance(refreshed, Success):
             return False
-        self._watch.forget(self._deps.revisions.view.configuration)
+        self._observer.reset(self._deps.revisions.view.configuration)
         self._fenced.clear()
-        self._is_fresh = True
+        self._is_refreshed = True
         return True
 
-    def _holds(self) -> bool:
+    def _holds_lease(self) -> bool:
         lease = self._lease
         return lease is not None and lease.is_held(self._deps.clock.now_seconds())
 
-    async def _record(self, basis: Configuration, changed: Configuration) -> Look:
-        if not self._holds():
-            return Look.NO_DUTY
+    async def _record(self, basis: Configuration, changed: Configuration) -> TickResult:
+        if not self._holds_lease():
+            return TickResult.NO_DUTY
         committed = await self._deps.revisions.commit(Revision(basis.revision), changed)
         if isinstance(committed, Success):
-            return Look.RECORDED
+            return TickResult.RECORDED
         # Moved or unknown: the next look must not decide on an old revision.
         refreshed = await self._deps.revisions.refresh()
-        self._is_fresh = self._is_fresh and isinstance(refreshed, Success)
-        return Look.NOT_RECORDED
+        self._is_refreshed = self._is_refreshed and isinstance(refreshed, Success)
+        return TickResult.NOT_RECORDED
 
-    async def _raise_fences(
+    async def _send_fencing_numbers(
         self, view: ConfigurationView, observed: dict[TargetId, Observed]
     ) -> set[TargetId]:
         """Show each target our fencing number before anything else is done.
@@ -193,18 +193,18 @@
             The targets that could not be shown it. What they said may be undone
             by a late order, so nothing is decided on it.
         """
-        unshown = set()
+        unfenced = set()
         for name, answer in observed.items():
             target = view.targets[name]
             group = view.target_groups.get(TargetGroupId(target.target_group))
             checks_fencing = group is not None and group.checks_fencing
             if not checks_fencing or answer.health is None:
                 continue
-            if not await self._raise_fence(target, answer.health):
-                unshown.add(name)
-        return unshown
+            if not await self._send_fencing_number(target, answer.health):
+                unfenced.add(name)
+        return unfenced
 
-    async def _raise_fence(self, target: Target, health: EngineHealth) -> bool:
+    async def _send_fencing_number(self, target: Target, health: EngineHealth) -> bool:
         name = TargetId(target.target)
         lease = self._lease
         # A target that came back from a crash has forgotten the number.
@@ -213,10 +213,10 @@
             return False
         if key in self._fenced or health.fencing_number >= lease.fencing_number:
             return True
-        if health.state not in _SETTLED:
+        if health.state not in _SETTLED_STATES:
             # An order would end its load; while it loads it holds a slot anyway.
             return True
-        stay = EngineOrder(
+        unchanged_order = EngineOrder(
             order_id=f"stay-{name}-{lease.fencing_number}",
             fencing_number=lease.fencing_number,
             desired_version=health.desired_version,
@@ -224,10 +224,10 @@
             # target may have crashed since it was asked, or the order be late.
             state=health.state,
         )
-        is_shown = await self._send_order(target, stay)
-        if is_shown:
+        is_sent = await self._send_order(target, unchanged_order)
+        if is_sent:
             self._fenced.add(key)
-        return is_shown
+        return is_sent
 
     async def _act(
         self, configuration: Configuration, actions: tuple[CapacityAction, ...]
@@ -263,7 +263,7 @@
 
     async def _send_order(self, target: Target, order: EngineOrder) -> bool:
         """Send an order if the lease still holds; return whether it was answered."""
-        if not self._holds():
+        if not self._holds_lease():
             return False
         sent = None
         try:
@@ -305,7 +305,7 @@
     async def _run(self) -> None:
         while True:
             try:
-                await self.look()
+                await self.tick()
             except Exception:
                 # The duty must outlive a fault of one look: without it no intent
                 # goes on anywhere, since this daemon would keep the lease.
--- a/lycheepost/operators/capacity_steps.py
+++ b/lycheepost/operators/capacity_steps.py
@@ -19,7 +19,7 @@
     TargetDesiredState,
 )
 from lycheepost.generated.engine import EngineHealth, EngineHealthState
-from lycheepost.operators.capacity_group import GroupWork
+from lycheepost.operators.capacity_group import GroupContext
 from lycheepost.operators.capacity_records import (
     FULL_SHARE,
     SERVING_SHARES,
@@ -30,7 +30,7 @@
     held_version,
 )
 
-_GIVEN_UP_WHEN_RETIRED = frozenset(
+_ABANDONED_WHEN_RETIRED = frozenset(
     {
         CapacityStepState.WAITING,
         CapacityStepState.DRAINING,
@@ -40,35 +40,40 @@
 """A load under way is waited for, since it takes up a load slot."""
 
 
-def move_step(
-    work: GroupWork,
+def advance_step(
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     timing: CapacityTiming,
     next_revision: int,
 ) -> CapacityAction | None:
     """Move one step on in the draft; return what is to be sent for it now."""
-    target = work.targets.get(step.target)
-    if target is None or work.observe(step.target).is_lost:
-        _lose(work, intent, step, target)
+    target = context.targets.get(step.target)
+    if target is None or context.observe(step.target).is_lost:
+        _end_lost(context, intent, step, target)
         return None
-    if _is_retired_meanwhile(intent, target) and step.state in _GIVEN_UP_WHEN_RETIRED:
-        _enter(work, intent, step, CapacityStepState.DONE, note="it was retired")
+    if _is_retired_meanwhile(intent, target) and step.state in _ABANDONED_WHEN_RETIRED:
+        _set_step_state(
+            context, intent, step, CapacityStepState.DONE, note="it was retired"
+        )
         return None
     match step.state:
         case CapacityStepState.WAITING:
-            _start(work, intent, step, target)
+            _start(context, intent, step, target)
         case CapacityStepState.DRAINING:
-            _drain(work, intent, step, target, timing, next_revision)
+            _drain(context, intent, step, target, timing, next_revision)
         case CapacityStepState.LOADING:
-            return _load(work, intent, step, target, timing)
+            return _load(context, intent, step, target, timing)
         case CapacityStepState.WARMING:
-            return _warm(work, intent, step, target, timing)
+            return _warm(context, intent, step, target, timing)
     return None
 
 
-def _lose(
-    work: GroupWork, intent: CapacityIntent, step: CapacityStep, target: Target | None
+def _end_lost(
+    context: GroupContext,
+    intent: CapacityIntent,
+    step: CapacityStep,
+    target: Target | None,
 ) -> None:
     """End the step of a target that is no more; machines fail every day.
 
@@ -78,8 +83,8 @@
     if step.state is CapacityStepState.DONE:
         return
     if intent.kind is CapacityIntentKind.RETIRE and target is not None:
-        _retire(work, target)
-    _enter(work, intent, step, CapacityStepState.DONE, note="it is gone")
+        _retire(context, target)
+    _set_step_state(context, intent, step, CapacityStepState.DONE, note="it is gone")
 
 
 def _is_retired_meanwhile(intent: CapacityIntent, target: Target) -> bool:
@@ -93,8 +98,8 @@
     )
 
 
-def _enter(
-    work: GroupWork,
+def _set_step_state(
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     state: CapacityStepState,
@@ -103,51 +108,53 @@
     moved = dataclasses.replace(
         step,
         state=state,
-        since_wall_seconds=work.now_wall_seconds,
+        since_wall_seconds=context.now_wall_seconds,
         **{"note": "", **fields},  # type: ignore[arg-type]
     )
-    work.put_steps(intent.intent, [moved])
+    context.put_steps(intent.intent, [moved])
 
 
-def _retire(work: GroupWork, target: Target) -> None:
-    work.put_target(
+def _retire(context: GroupContext, target: Target) -> None:
+    context.put_target(
         dataclasses.replace(target, desired_state=TargetDesiredState.RETIRED)
     )
 
 
 def _start(
-    work: GroupWork,
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     target: Target,
 ) -> None:
     if intent.state is not CapacityIntentState.RUNNING:
         return
-    if step.target in work.busy_targets():
+    if step.target in context.busy_targets():
         return
     is_serving = target.desired_state is TargetDesiredState.SERVING
     needs_load = intent.kind is not CapacityIntentKind.RETIRE
     # The cheap checks come first: a rollout over 1,500 targets has nearly all of
     # its steps waiting here at each look.
-    if needs_load and not _may_load(work, step):
+    if needs_load and not _may_load(context, step):
         return
-    if is_serving and not work.may_take_out(target):
+    if is_serving and not context.may_take_out(target):
         return
     if not needs_load:
-        _retire(work, target)
-        _enter(work, intent, step, CapacityStepState.DRAINING, was_serving=is_serving)
+        _retire(context, target)
+        _set_step_state(
+            context, intent, step, CapacityStepState.DRAINING, was_serving=is_serving
+        )
         return
     # A target that stands by may have served until a moment ago and still run
     # something, so it is drained as well.
     is_to_serve = is_serving or intent.kind is CapacityIntentKind.HOLD_READY
-    held = held_version(target, work.model())
-    work.put_target(
+    held = held_version(target, context.model())
+    context.put_target(
         dataclasses.replace(
             target, desired_state=TargetDesiredState.STANDBY, weights_version=held
         )
     )
-    _enter(
-        work,
+    _set_step_state(
+        context,
         intent,
         step,
         CapacityStepState.DRAINING,
@@ -155,9 +162,9 @@
     )
 
 
-def _may_load(work: GroupWork, step: CapacityStep) -> bool:
-    observed = work.observe(step.target)
-    if observed.health is None or not work.has_free_load(step.target):
+def _may_load(context: GroupContext, step: CapacityStep) -> bool:
+    observed = context.observe(step.target)
+    if observed.health is None or not context.has_free_load_slot(step.target):
         # A silent target would hold a load slot and do nothing with it.
         return False
     # What loads for somebody else is left alone; only a step's own load is begun
@@ -166,7 +173,7 @@
 
 
 def _drain(
-    work: GroupWork,
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     target: Target,
@@ -174,27 +181,29 @@
     next_revision: int,
 ) -> None:
     if intent.state is CapacityIntentState.CANCELLED:
-        _put_back(work, intent, step, target)
+        _undo_drain(context, intent, step, target)
         return
-    if not _is_idle(work, step, timing):
+    if not _is_idle(context, step, timing):
         return
     if intent.kind is CapacityIntentKind.RETIRE:
-        _enter(work, intent, step, CapacityStepState.DONE)
+        _set_step_state(context, intent, step, CapacityStepState.DONE)
         return
-    _enter(work, intent, step, CapacityStepState.LOADING, desired_version=next_revision)
+    _set_step_state(
+        context, intent, step, CapacityStepState.LOADING, desired_version=next_revision
+    )
 
 
-def _put_back(
-    work: GroupWork, intent: CapacityIntent, step: CapacityStep, target: Target
+def _undo_drain(
+    context: GroupContext, intent: CapacityIntent, step: CapacityStep, target: Target
 ) -> None:
     state = TargetDesiredState.STANDBY
     if step.was_serving and intent.kind is not CapacityIntentKind.HOLD_READY:
         state = TargetDesiredState.SERVING
-    work.put_target(dataclasses.replace(target, desired_state=state))
-    _enter(work, intent, step, CapacityStepState.WAITING)
+    context.put_target(dataclasses.replace(target, desired_state=state))
+    _set_step_state(context, intent, step, CapacityStepState.WAITING)
 
 
-def _is_idle(work: GroupWork, step: CapacityStep, timing: CapacityTiming) -> bool:
+def _is_idle(context: GroupContext, step: CapacityStep, timing: CapacityTiming) -> bool:
     """Return whether the target surely runs nothing any more.
 
     A load order ends whatever runs, so a stream would be cut. Daemons may send
@@ -203,40 +212,42 @@
     a bound on its length, and none is worth cutting for a rollout.
     """
     settled_seconds = step.since_wall_seconds + timing.drain_settle_seconds
-    observed = work.observe(step.target)
+    observed = context.observe(step.target)
     return (
-        work.now_wall_seconds >= settled_seconds
+        context.now_wall_seconds >= settled_seconds
         and observed.n_running == 0
         and observed.load_wall_seconds >= settled_seconds
     )
 
 
 def _load(
-    work: GroupWork,
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     target: Target,
     timing: CapacityTiming,
 ) -> OrderAction | None:
-    health = work.observe(step.target).health
-    order = make_order(work, intent, step)
-    if health is not None and _has_arrived(health, order):
-        _end_load(work, intent, step, target, order)
+    health = context.observe(step.target).health
+    order = make_order(context, intent, step)
+    if health is not None and _is_fulfilled(health, order):
+        _end_load(context, intent, step, target, order)
         return None
-    age_seconds = work.now_wall_seconds - step.since_wall_seconds
+    age_seconds = context.now_wall_seconds - step.since_wall_seconds
     if age_seconds > timing.load_timeout_seconds:
-        _enter(work, intent, step, CapacityStepState.FAILED, note="the load timed out")
+        _set_step_state(
+            context, intent, step, CapacityStepState.FAILED, note="the load timed out"
+        )
         return None
-    if health is None or _is_on_its_way(health, order):
+    if health is None or _is_executing(health, order):
         return None
     return order
 
 
 def make_order(
-    work: GroupWork, intent: CapacityIntent, step: CapacityStep
+    context: GroupContext, intent: CapacityIntent, step: CapacityStep
 ) -> OrderAction:
     """Return the order of a loading step; the same at every repeat."""
-    model = work.model()
+    model = context.model()
     state = EngineHealthState.STANDBY
     if step.was_serving:
         state = EngineHealthState.SERVING
@@ -251,7 +262,7 @@
     )
 
 
-def _has_arrived(health: EngineHealth, order: OrderAction) -> bool:
+def _is_fulfilled(health: EngineHealth, order: OrderAction) -> bool:
     return (
         health.state in (EngineHealthState.SERVING, EngineHealthState.STANDBY)
         and (health.state is EngineHealthState.SERVING or order.state is health.state)
@@ -260,7 +271,7 @@
     )
 
 
-def _is_on_its_way(health: EngineHealth, order: OrderAction) -> bool:
+def _is_executing(health: EngineHealth, order: OrderAction) -> bool:
     # An order that comes a second time would begin the load again.
     return (
         health.state is EngineHealthState.LOADING
@@ -269,27 +280,27 @@
 
 
 def _end_load(
-    work: GroupWork,
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     target: Target,
     order: OrderAction,
 ) -> None:
-    holds = dataclasses.replace(
+    loaded = dataclasses.replace(
         target, weights_version=step.weights_version or target.weights_version
     )
-    is_out = _is_retired_meanwhile(intent, target) or is_released(intent)
-    if is_out or not step.was_serving:
-        work.put_target(holds)
-        _enter(work, intent, step, CapacityStepState.DONE)
+    stays_out = _is_retired_meanwhile(intent, target) or is_released(intent)
+    if stays_out or not step.was_serving:
+        context.put_target(loaded)
+        _set_step_state(context, intent, step, CapacityStepState.DONE)
         return
     warming = dataclasses.replace(
-        holds,
+        loaded,
         desired_state=TargetDesiredState.SERVING,
         serving_share=SERVING_SHARES[0],
     )
-    work.put_target(warming)
-    _enter(work, intent, step, CapacityStepState.WARMING)
+    context.put_target(warming)
+    _set_step_state(context, intent, step, CapacityStepState.WARMING)
 
 
 def is_released(intent: CapacityIntent) -> bool:
@@ -301,32 +312,32 @@
 
 
 def _warm(
-    work: GroupWork,
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     target: Target,
     timing: CapacityTiming,
 ) -> WarmAction | None:
-    health = work.observe(step.target).health
-    order = make_order(work, intent, step)
-    if health is not None and not _has_arrived(health, order):
+    health = context.observe(step.target).health
+    order = make_order(context, intent, step)
+    if health is not None and not _is_fulfilled(health, order):
         # It crashed and came back without what it had loaded.
         standby = dataclasses.replace(target, desired_state=TargetDesiredState.STANDBY)
-        work.put_target(standby)
-        _enter(work, intent, step, CapacityStepState.WAITING)
+        context.put_target(standby)
+        _set_step_state(context, intent, step, CapacityStepState.WAITING)
         return None
     if health is None:
         # Nothing shows that it still holds what it loaded.
         return None
     if target.serving_share >= FULL_SHARE:
-        _enter(work, intent, step, CapacityStepState.DONE)
+        _set_step_state(context, intent, step, CapacityStepState.DONE)
         return None
-    age_seconds = work.now_wall_seconds - step.since_wall_seconds
+    age_seconds = context.now_wall_seconds - step.since_wall_seconds
     n_rises = int(age_seconds / timing.warm_step_seconds)
     share = SERVING_SHARES[min(n_rises, len(SERVING_SHARES) - 1)]
     if share > target.serving_share:
-        work.put_target(dataclasses.replace(target, serving_share=share))
-    model = work.model()
+        context.put_target(dataclasses.replace(target, serving_share=share))
+    model = context.model()
     if n_rises > 0 or model is None:
         return None
     version = WeightsVersion(held_version(target, model))
--- a/lycheepost/operators/capacity_warm.py
+++ b/lycheepost/operators/capacity_warm.py
@@ -23,11 +23,11 @@
 from lycheepost.state.view import ConfigurationView
 from lycheepost.targets.control import ControlClient
 
-WARMED_PREFIXES = 32
+MAX_WARMED_PREFIXES = 32
 """More would take longer than the first rise of the target's share."""
-_DONORS_ASKED = 3
+_MAX_DONORS_ASKED = 3
 """Owners of a prefix come first in its rendezvous order."""
-_WARM_SECONDS = 10.0
+_WARM_TIMEOUT_SECONDS = 10.0
 
 
 class KvWarmer:
@@ -53,11 +53,11 @@
         self, target: Target, model: ModelId, weights_version: WeightsVersion
     ) -> Result[int, LycheepostError]:
         """Import the hottest kept prefixes; return how many tokens."""
-        prefixes = self._hot.top(model, weights_version, WARMED_PREFIXES)
+        prefixes = self._hot.top(model, weights_version, MAX_WARMED_PREFIXES)
         donors = self._find_donors(target, model, weights_version)
         n_tokens = 0
         try:
-            async with asyncio.timeout(_WARM_SECONDS):
+            async with asyncio.timeout(_WARM_TIMEOUT_SECONDS):
                 for prefix in prefixes:
                     n_tokens += await self._import(target, prefix, donors)
         except TimeoutError:
@@ -81,7 +81,7 @@
     async def _import(
         self, target: Target, prefix: HotPrefix, donors: dict[str, Target]
     ) -> int:
-        for name in rendezvous_order(prefix.digest, donors)[:_DONORS_ASKED]:
+        for name in rendezvous_order(prefix.digest, donors)[:_MAX_DONORS_ASKED]:
             kept = await self._export(donors[name], prefix)
             if kept is None:
                 continue
--- a/lycheepost/operators/client.py
+++ b/lycheepost/operators/client.py
@@ -16,9 +16,9 @@
 from lycheepost.core.errors import LycheepostError
 
 _TIMEOUT_SECONDS = 30.0
-_CONFIRM_TRIES = 3
+_MAX_CONFIRM_ATTEMPTS = 3
 _RETRY_SECONDS = 0.5
-_ASKED_AT_ONCE = 32
+_MAX_CONCURRENT_CALLS = 32
 
 
 @dataclass(frozen=True)
@@ -106,17 +106,17 @@
     if allow_unrelated:
         path += "?allow_unrelated=true"
     answer: ApiAnswer = Failure(ApiUnreachable("The confirm was not tried."))
-    for number in range(_CONFIRM_TRIES):
+    for number in range(_MAX_CONFIRM_ATTEMPTS):
         await asyncio.sleep(_RETRY_SECONDS * number)
         answer = await call_api(
             connection, "POST", path, headers={"Idempotency-Key": token}
         )
-        if isinstance(answer, Success) or not _is_open(answer.failure()):
+        if isinstance(answer, Success) or not _is_outcome_unknown(answer.failure()):
             return answer
     return answer
 
 
-def _is_open(error: ApiRefused | ApiUnreachable) -> bool:
+def _is_outcome_unknown(error: ApiRefused | ApiUnreachable) -> bool:
     match error:
         case ApiUnreachable():
             return True
@@ -134,7 +134,7 @@
     No daemon knows this of all others: telling it around would cost each of 540
     more than it may spend on control, and an operator asks now and then.
     """
-    limit = asyncio.Semaphore(_ASKED_AT_ONCE)
+    limit = asyncio.Semaphore(_MAX_CONCURRENT_CALLS)
 
     async def ask(daemon: dict[str, Any]) -> tuple[str, int | None]:
         connection = ApiConnection(daemon["callers_url"], "", ca_file)
--- a/lycheepost/operators/confirming.py
+++ b/lycheepost/operators/confirming.py
@@ -30,18 +30,22 @@
     ShownKey,
 )
 from lycheepost.operators.access import Operator
-from lycheepost.operators.basis import find_applied, find_moved, remembers_since
+from lycheepost.operators.basis import (
+    find_applied_plan,
+    find_basis_changes,
+    has_history_since,
+)
 from lycheepost.operators.callerkeys import derive_caller_key
 from lycheepost.operators.errors import OperatorError
 from lycheepost.operators.intents import parse_intent
 from lycheepost.operators.planning import (
     DraftContext,
     draft_intent,
-    remember_plan,
+    record_plan,
 )
 from lycheepost.operators.plans import (
     RETRY_SECONDS,
-    PlanRaced,
+    PlanRowChanged,
     PlanStore,
     StoredPlan,
 )
@@ -50,7 +54,7 @@
 from lycheepost.utils.documents import Fault
 from lycheepost.utils.keys import hash_key
 
-_TRIES = 4
+_MAX_ROUNDS = 4
 """Rounds of one confirm against commits that come in between; each lost round
 means that another revision won, so at 0.74 revisions a second more than a few
 in a row means that something else is wrong."""
@@ -83,7 +87,7 @@
     deps: OperatorDeps, store: PlanStore, call: ConfirmCall
 ) -> Result[ConfirmAnswer, OperatorError]:
     """Apply the plan of ``call`` if it has not been, and say what it made."""
-    for _ in range(_TRIES):
+    for _ in range(_MAX_ROUNDS):
         loaded = await store.load(call.plan_id)
         if not isinstance(loaded, Success):
             return Failure(loaded.failure())
@@ -105,12 +109,12 @@
 ) -> Result[ConfirmAnswer, OperatorError] | None:
     """Do one round; None when something came in between and it may go again."""
     plan = stored.plan
-    settled = await _find_settled(deps, plan)
-    if isinstance(settled, OperatorError):
-        return Failure(settled)
-    if settled is not None:
-        await _mark_applied(store, stored, settled)
-        return Success(_make_answer(call, plan, settled))
+    record = await _find_applied_record(deps, plan)
+    if isinstance(record, OperatorError):
+        return Failure(record)
+    if record is not None:
+        await _mark_applied(store, stored, record)
+        return Success(_make_answer(call, plan, record))
     refused = _check_confirmable(deps, call, plan)
     if refused is not None:
         return Failure(refused)
@@ -122,11 +126,11 @@
     )
     if not isinstance(marked, Success):
         error = marked.failure()
-        return None if isinstance(error, PlanRaced) else Failure(error)
+        return None if isinstance(error, PlanRowChanged) else Failure(error)
     return await _commit(deps, store, call, marked.unwrap())
 
 
-async def _find_settled(
+async def _find_applied_record(
     deps: OperatorDeps, plan: Plan
 ) -> AppliedPlan | OperatorError | None:
     """Return the record of an applied plan; None when it is surely not applied.
@@ -148,10 +152,10 @@
         if not isinstance(refreshed, Success):
             return _store_error(refreshed.failure().reason, is_applied=None)
     configuration = deps.revisions.view.configuration
-    entry = find_applied(configuration, plan.plan_id)
+    entry = find_applied_plan(configuration, plan.plan_id)
     if entry is not None or plan.state is PlanState.PLANNED:
         return entry
-    if remembers_since(configuration, plan.basis_revision):
+    if has_history_since(configuration, plan.basis_revision):
         return None
     return OperatorError(
         "An earlier confirm may have applied this plan; too many came after it to"
@@ -189,7 +193,7 @@
 def _check_basis(
     plan: Plan, configuration: Configuration, allow_unrelated: bool
 ) -> OperatorError | None:
-    moved = find_moved(plan, configuration, allow_unrelated)
+    moved = find_basis_changes(plan, configuration, allow_unrelated)
     if not moved:
         return None
     return OperatorError(
@@ -227,7 +231,7 @@
     blocked = _check_conflicts(drafted.unwrap().conflicts())
     if blocked is not None:
         return Failure(blocked)
-    changed = remember_plan(
+    changed = record_plan(
         drafted.unwrap().draft.finish(), plan, call.operator.name, call.token_hash
     )
     outcome = await deps.revisions.commit(Revision(basis.revision), changed)
--- a/lycheepost/operators/customer_changes.py
+++ b/lycheepost/operators/customer_changes.py
@@ -28,7 +28,7 @@
 from lycheepost.state.customerquotas import to_quota
 from lycheepost.utils.documents import Fault
 
-_SALT_CHARACTERS = 16
+_SALT_HASH_LENGTH = 16
 
 
 def _check_customer_lists(
@@ -56,7 +56,7 @@
         key_hashes=[key_hash],
         # The name alone would not do: a customer that is removed, and another
         # created under its name, would share cached blocks on the engines.
-        cache_salt=f"{change.customer}:{key_hash[:_SALT_CHARACTERS]}",
+        cache_salt=f"{change.customer}:{key_hash[:_SALT_HASH_LENGTH]}",
         share_weight=change.share_weight,
         models=change.models,
         target_groups=change.target_groups,
--- a/lycheepost/operators/planning.py
+++ b/lycheepost/operators/planning.py
@@ -37,7 +37,7 @@
 from lycheepost.state.view import ConfigurationView
 from lycheepost.utils.documents import Fault
 
-KEPT_APPLIED_PLANS = 64
+MAX_APPLIED_PLANS = 64
 """Confirmed plans that a configuration remembers.
 
 A repeated confirm finds its plan here when the first answer was lost. At 64,000
@@ -45,14 +45,14 @@
 client repeats a call; at today's sizes it is days.
 """
 
-_KEPT_SUBJECTS = 16
+_MAX_SUBJECTS_PER_PLAN = 16
 """Subjects remembered of each plan, to tell another operator what moved."""
 
 _PLACEHOLDER_HASH = "0" * 64
 
 
 @dataclass(frozen=True)
-class Drafted:
+class DraftedIntent:
     """An intent applied to a draft.
 
     Attributes:
@@ -90,7 +90,7 @@
 
 def draft_intent(
     configuration: Configuration, intent: Intent, context: DraftContext
-) -> Result[Drafted, list[Fault]]:
+) -> Result[DraftedIntent, list[Fault]]:
     """Apply every change of ``intent`` to a draft, or return every fault."""
     draft = Draft(configuration)
     applied = []
@@ -104,7 +104,7 @@
             faults += [prefix_fault(prefix, fault) for fault in result]
     if faults:
         return Failure(faults)
-    return Success(Drafted(draft, tuple(applied)))
+    return Success(DraftedIntent(draft, tuple(applied)))
 
 
 def _apply_change(
@@ -123,7 +123,7 @@
     return apply_capacity_change(draft, change, capacity)
 
 
-def versions_to_ask(
+def needed_weights(
     configuration: Configuration, intent: Intent
 ) -> frozenset[WeightsKey]:
     """Return the weights whose size and load time a plan of ``intent`` needs."""
@@ -166,7 +166,7 @@
 def _make_plan(
     view: ConfigurationView,
     intent: Intent,
-    drafted: Drafted,
+    drafted: DraftedIntent,
     context: DraftContext,
     operator: str,
 ) -> Plan:
@@ -197,7 +197,7 @@
     )
 
 
-def _make_estimate(drafted: Drafted, wall_seconds: float) -> PlanEstimate:
+def _make_estimate(drafted: DraftedIntent, wall_seconds: float) -> PlanEstimate:
     # Changes of different groups run side by side, those of one group by turns:
     # the longest is the least it takes.
     seconds = max((item.seconds for item in drafted.applied), default=0.0)
@@ -208,7 +208,7 @@
     )
 
 
-def remember_plan(
+def record_plan(
     configuration: Configuration, plan: Plan, operator: str, confirm_token_hash: str
 ) -> Configuration:
     """Return ``configuration`` as the next revision, made by ``plan``."""
@@ -218,7 +218,7 @@
         revision=revision,
         operator=operator,
         confirm_token_hash=confirm_token_hash,
-        subjects=[step.subject for step in plan.steps][:_KEPT_SUBJECTS],
+        subjects=[step.subject for step in plan.steps][:_MAX_SUBJECTS_PER_PLAN],
     )
-    kept = [*configuration.applied_plans, entry][-KEPT_APPLIED_PLANS:]
+    kept = [*configuration.applied_plans, entry][-MAX_APPLIED_PLANS:]
     return dataclasses.replace(configuration, revision=revision, applied_plans=kept)
--- a/lycheepost/operators/plans.py
+++ b/lycheepost/operators/plans.py
@@ -30,12 +30,12 @@
 from lycheepost.utils.documents import decode_record, encode_record
 
 _KEY_PREFIX = "plans/"
-_PLAN_ID_BYTES = 64
-_KEEP_SECONDS = 86_400
+_MAX_PLAN_ID_LENGTH = 64
+_RETENTION_SECONDS = 86_400
 """How long after its expiry a plan can still be looked up."""
-_REMOVED_PER_PLAN = 4
+_MAX_REMOVALS_PER_PLAN = 4
 """More than one per new plan, so that a backlog shrinks."""
-_LISTED_PLANS = 500
+_MAX_LISTED_PLANS = 500
 RETRY_SECONDS = 2.0
 """When to try again after the store did not answer."""
 
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class PlanRaced:
+class PlanRowChanged:
     """Another call changed the plan's row first."""
 
 
@@ -78,25 +78,25 @@
             found = await self.load(PlanId(plan.plan_id))
             if isinstance(found, Success):
                 return Success(plan)
-        return Failure(_turn_error(error, is_applied=False))
+        return Failure(_to_operator_error(error, is_applied=False))
 
     async def _list_stale(self, wall_seconds: float) -> list[str]:
-        page = await self._table.scan(_KEY_PREFIX, None, _REMOVED_PER_PLAN)
+        page = await self._table.scan(_KEY_PREFIX, None, _MAX_REMOVALS_PER_PLAN)
         if not isinstance(page, Success):
             return []
         return [
             row.key
             for row in page.unwrap().rows
-            if _decode(row).expires_wall_seconds + _KEEP_SECONDS < wall_seconds
+            if _decode(row).expires_wall_seconds + _RETENTION_SECONDS < wall_seconds
         ]
 
     async def load(self, plan_id: PlanId) -> Result[StoredPlan, OperatorError]:
         """Return a plan, or the error of an unknown one or a silent store."""
-        if len(plan_id) > _PLAN_ID_BYTES:
+        if len(plan_id) > _MAX_PLAN_ID_LENGTH:
             return Failure(_unknown_plan())
         outcome = await self._table.read((_key(plan_id),))
         if not isinstance(outcome, Success):
-            return Failure(_turn_error(outcome.failure(), is_applied=None))
+            return Failure(_to_operator_error(outcome.failure(), is_applied=None))
         (row,) = outcome.unwrap()
         if row is None:
             return Failure(_unknown_plan())
@@ -111,14 +111,14 @@
         design size would use up half a minute of the table's reads.
         """
         after_key = _key(f"plan-{max(0, int(wall_seconds * 1000)):012x}")
-        outcome = await self._table.scan(_KEY_PREFIX, after_key, _LISTED_PLANS)
+        outcome = await self._table.scan(_KEY_PREFIX, after_key, _MAX_LISTED_PLANS)
         if not isinstance(outcome, Success):
-            return Failure(_turn_error(outcome.failure(), is_applied=False))
+            return Failure(_to_operator_error(outcome.failure(), is_applied=False))
         return Success(tuple(map(_decode, outcome.unwrap().rows)))
 
     async def replace(
         self, stored: StoredPlan, plan: Plan
-    ) -> Result[StoredPlan, OperatorError | PlanRaced]:
+    ) -> Result[StoredPlan, OperatorError | PlanRowChanged]:
         """Write ``plan`` over ``stored`` unless its row has changed."""
         key = _key(plan.plan_id)
         transaction = Transaction(
@@ -129,12 +129,12 @@
             return Success(StoredPlan(plan, outcome.unwrap().versions[0]))
         error = outcome.failure()
         if isinstance(error, TableConflict):
-            return Failure(PlanRaced())
+            return Failure(PlanRowChanged())
         if isinstance(error, OutcomeUnknown):
             found = await self.load(PlanId(plan.plan_id))
             if isinstance(found, Success) and found.unwrap().plan == plan:
                 return found
-        return Failure(_turn_error(error, is_applied=False))
+        return Failure(_to_operator_error(error, is_applied=False))
 
 
 def _key(plan_id: str) -> str:
@@ -149,7 +149,7 @@
     return OperatorError("There is no such plan.", OperatorErrorKind.UNKNOWN_PLAN)
 
 
-def _turn_error(error: TableError, is_applied: bool | None) -> OperatorError:
+def _to_operator_error(error: TableError, is_applied: bool | None) -> OperatorError:
     return OperatorError(
         f"The table service did not answer: {error.reason}",
         OperatorErrorKind.STORE_UNAVAILABLE,
--- a/lycheepost/operators/ports.py
+++ b/lycheepost/operators/ports.py
@@ -38,7 +38,7 @@
         ...
 
 
-def no_quotas() -> dict[str, object]:
+def empty_quota_report() -> dict[str, object]:
     """Return the account of a daemon that counts no quotas."""
     return {"share": 1.0, "is_synced": True, "customers": {}}
 
@@ -60,4 +60,4 @@
     settings: OperatorSettings
     weights: WeightsPort | None = None
     fleet: Callable[[], FleetStatus] | None = None
-    quotas: Callable[[], dict[str, object]] = no_quotas
+    quotas: Callable[[], dict[str, object]] = empty_quota_report
--- a/lycheepost/operators/routes.py
+++ b/lycheepost/operators/routes.py
@@ -25,17 +25,17 @@
 from lycheepost.operators.planning import (
     DraftContext,
     make_plan_id,
+    needed_weights,
     plan_intent,
-    versions_to_ask,
 )
 from lycheepost.operators.plans import PlanStore
 from lycheepost.operators.ports import OperatorDeps
 from lycheepost.operators.weightsfacts import ask_weights
 from lycheepost.utils.documents import Fault, encode_record
 
-_BODY_BYTES = 1_048_576
+_MAX_BODY_BYTES = 1_048_576
 """Largest intent: 500 changes with room to spare."""
-_TOKEN_CHARACTERS = 200
+_MAX_TOKEN_LENGTH = 200
 
 Answer = Result[Any, OperatorError]
 Handler = Callable[[web.Request, Operator], Awaitable[Answer]]
@@ -105,7 +105,7 @@
         await self._deps.revisions.refresh()
         view = self._deps.revisions.view
         intent = parsed.unwrap()
-        keys = versions_to_ask(view.configuration, intent)
+        keys = needed_weights(view.configuration, intent)
         wall_seconds = self._deps.clock.wall_seconds()
         context = DraftContext(
             plan_id=make_plan_id(wall_seconds),
@@ -138,8 +138,8 @@
     async def confirm(self, request: web.Request, operator: Operator) -> Answer:
         """Apply a plan once."""
         token = request.headers.get("Idempotency-Key") or secrets.token_urlsafe(32)
-        if len(token) > _TOKEN_CHARACTERS:
-            fault = Fault("Idempotency-Key", "", f"is over {_TOKEN_CHARACTERS} long")
+        if len(token) > _MAX_TOKEN_LENGTH:
+            fault = Fault("Idempotency-Key", "", f"is over {_MAX_TOKEN_LENGTH} long")
             reason = "The idempotency key is too long."
             return Failure(OperatorError(reason, OperatorErrorKind.MALFORMED, (fault,)))
         call = ConfirmCall(
@@ -174,8 +174,8 @@
     body = bytearray()
     async for chunk in request.content.iter_any():
         body += chunk
-        if len(body) > _BODY_BYTES:
-            reason = f"The intent is over {_BODY_BYTES} bytes."
+        if len(body) > _MAX_BODY_BYTES:
+            reason = f"The intent is over {_MAX_BODY_BYTES} bytes."
             return Failure(OperatorError(reason, OperatorErrorKind.TOO_LARGE))
     try:
         return Success(json.loads(body))
--- a/lycheepost/operators/weightsrollout.py
+++ b/lycheepost/operators/weightsrollout.py
@@ -27,7 +27,7 @@
     old_share,
 )
 from lycheepost.generated.messages import TargetsChanging
-from lycheepost.operators.weightsnews import WeightsNews
+from lycheepost.operators.weightsupdates import WeightsUpdates
 from lycheepost.state.leases import Lease
 from lycheepost.state.namedweights import weights_number
 from lycheepost.state.targetlist import (
@@ -44,36 +44,36 @@
 )
 from lycheepost.utils.tasks import start_task
 
-PASS_SECONDS = 0.1
+TICK_SECONDS = 0.1
 """Between two looks at what is to be done, which cost nothing but a comparison."""
 
-LOOK_SECONDS = 0.03
+DRAIN_POLL_SECONDS = 0.03
 """Between looks at what a target that is left alone still runs: as often as daemons
 tell each other their load."""
 
-ASK_SECONDS = 0.06
+LOAD_POLL_SECONDS = 0.06
 """Between questions whether the weights are in place: so long a target stands still in
 vain at most, and others wait for their turn."""
 
-ASK_FIRST_SHARE = 0.85
+FIRST_POLL_SHARE = 0.85
 """Part of the time that changes have taken of late after which the first question is
 put; earlier ones are answered with no, and each is a call that the target pays for."""
 
-LOAD_GAIN = 0.3
+LOAD_TIME_GAIN = 0.3
 """Weight of one change in that time; it differs with how many change at once."""
 
-LOAD_SECONDS = 5.0
+LOAD_TIMEOUT_SECONDS = 5.0
 """A target that has not loaded by then is looked at anew."""
 
-SHOWN_SECONDS = 0.6
+ORDER_VISIBLE_SECONDS = 0.6
 """By then a report shows an order that was taken."""
 
-RESTART_LOOKS_SECONDS = (1.0, 2.0, 3.0, 6.0)
+RESTART_POLL_DELAYS_SECONDS = (1.0, 2.0, 3.0, 6.0)
 """Pauses between looks at a target that has started again. An order to its earlier
 start may be carried out up to twelve seconds late and put older weights in; where no
 request goes to it, nobody else would notice."""
 
-FAILED_PAUSE_SECONDS = 0.4
+RETRY_DELAY_SECONDS = 0.4
 """Before a target that did not take an order is asked again."""
 
 _log = structlog.get_logger(part="weights")
@@ -90,9 +90,9 @@
         clock: The clock of the leases.
         daemon: Named in orders as their holder.
         groups_of: Returns the target groups that serve a model.
-        tell: Tells the peers of changes.
+        notify_peers: Tells the peers of changes.
         count_running: Returns how many requests of all known daemons run at a target.
-        most_alone_seconds: How long a target's runs may take to end before its order.
+        max_drain_seconds: How long a target's runs may take to end before its order.
     """
 
     def __init__(
@@ -102,24 +102,24 @@
         clock: Clock,
         daemon: DaemonId,
         groups_of: Callable[[ModelId], tuple[TargetGroupId, ...]],
-        tell: Callable[[TargetsChanging], None],
+        notify_peers: Callable[[TargetsChanging], None],
         count_running: Callable[[TargetId], int],
-        most_alone_seconds: float = MAX_DRAIN_SECONDS,
+        max_drain_seconds: float = MAX_DRAIN_SECONDS,
     ) -> None:
-        self._most_alone_seconds = most_alone_seconds
+        self._max_drain_seconds = max_drain_seconds
         self._count_running = count_running
         self._port = port
         self._targets = targets
         self._clock = clock
         self._daemon = daemon
         self._groups_of = groups_of
-        self._news = WeightsNews(targets, tell)
+        self._updates = WeightsUpdates(targets, notify_peers)
         self._wanted: dict[ModelId, int] = {}
         self._changes: dict[TargetId, asyncio.Task[None]] = {}
         self._started_ms: dict[TargetId, int] = {}
-        self._looks: set[asyncio.Task[None]] = set()
+        self._restart_checks: set[asyncio.Task[None]] = set()
         self._current: CurrentLease | None = None
-        self._load_seconds = 0.0
+        self._mean_load_seconds = 0.0
         self._last_order_seconds = -math.inf
         self._task: asyncio.Task[None] | None = None
         self._wake = asyncio.Event()
@@ -134,7 +134,7 @@
 
     async def stop(self) -> None:
         """Stop; orders that were accepted are carried out all the same."""
-        tasks = [*self._changes.values(), *self._looks]
+        tasks = [*self._changes.values(), *self._restart_checks]
         tasks += [] if self._task is None else [self._task]
         for task in tasks:
             task.cancel()
@@ -179,16 +179,16 @@
             self._wake.clear()
             if self._may_order():
                 for model, version in self._wanted.items():
-                    self._begin(model, version)
+                    self._begin_changes(model, version)
             try:
-                async with asyncio.timeout(PASS_SECONDS):
+                async with asyncio.timeout(TICK_SECONDS):
                     await self._wake.wait()
             except TimeoutError:
                 continue
 
-    def _begin(self, model: ModelId, wanted: int) -> None:
+    def _begin_changes(self, model: ModelId, wanted: int) -> None:
         """Begin the changes of one model that may begin now."""
-        by_name = {target.target: target for target in self._listed(model)}
+        by_name = {target.target: target for target in self._targets_of(model)}
         for target in by_name.values():
             self._note_start(target, model)
         for order in next_orders(model, wanted, self._all_weights(model)):
@@ -204,13 +204,13 @@
         self._started_ms[target.target] = target.started_ms
         if before_ms is None or before_ms == target.started_ms:
             return
-        look = start_task(self._look_after(target, model), "weights-restarted")
-        self._looks.add(look)
-        look.add_done_callback(self._looks.discard)
+        check = start_task(self._check_restarted(target, model), "weights-restarted")
+        self._restart_checks.add(check)
+        check.add_done_callback(self._restart_checks.discard)
 
-    async def _look_after(self, target: ListedTarget, model: ModelId) -> None:
+    async def _check_restarted(self, target: ListedTarget, model: ModelId) -> None:
         """Ask a target for its weights, several times while a late order may come."""
-        for pause_seconds in RESTART_LOOKS_SECONDS:
+        for pause_seconds in RESTART_POLL_DELAYS_SECONDS:
             await asyncio.sleep(pause_seconds)
             if not self._may_order() or self._targets.get(target.target) is None:
                 return
@@ -224,7 +224,7 @@
                         "weights: no report", target=target.target, reason=error.reason
                     )
 
-    def _listed(self, model: ModelId) -> list[ListedTarget]:
+    def _targets_of(self, model: ModelId) -> list[ListedTarget]:
         """Return the targets of a model that get requests or will.
 
         A target that leaves gets none, so that a load would serve nobody.
@@ -238,7 +238,7 @@
 
     def _all_weights(self, model: ModelId) -> list[TargetWeights]:
         """Return what is known of the weights of a model's targets."""
-        return [self._weights(target, model) for target in self._listed(model)]
+        return [self._weights(target, model) for target in self._targets_of(model)]
 
     def _end_change(self, target: TargetId, change: asyncio.Task[None]) -> None:
         self._changes.pop(target, None)
@@ -259,15 +259,15 @@
     async def _change(self, target: ListedTarget, order: WeightsOrder) -> None:
         """Change the weights of one target, or leave it as it is."""
         self._announce(target.start, order, is_done=False)
-        await self._wait_alone(order)
+        await self._wait_drained(order)
         is_done = await self._order(target, order)
         if is_done:
             is_done = await self._wait_loaded(target, order)
         self._announce(target.start, order, is_done=True)
         if not is_done:
-            await asyncio.sleep(FAILED_PAUSE_SECONDS)
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
 
-    async def _wait_alone(self, order: WeightsOrder) -> None:
+    async def _wait_drained(self, order: WeightsOrder) -> None:
         """Wait until a target that gets no new work may be ordered."""
         began_seconds = self._clock.now_seconds()
         drained_seconds = 0.0
@@ -275,9 +275,9 @@
             drained_seconds,
             self._count_running(order.target),
             old_share(weights_number(order.version), self._all_weights(order.model)),
-            self._most_alone_seconds,
+            self._max_drain_seconds,
         ):
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
             drained_seconds = self._clock.now_seconds() - began_seconds
 
     def _announce(self, start: TargetStart, order: WeightsOrder, is_done: bool) -> None:
@@ -286,19 +286,19 @@
             self._targets.weights_of(order.target, order.model) if is_done else None
         )
         for_seconds = 0.0 if is_done else WEIGHTS_CHANGE_TIMEOUT_SECONDS
-        self._news.tell(WeightsChange(start, order.model, version, for_seconds))
+        self._updates.publish(WeightsChange(start, order.model, version, for_seconds))
 
     async def _order(self, target: ListedTarget, order: WeightsOrder) -> bool:
         """Send the order; return whether to wait for the weights."""
         match await self._port.read_report(target):
             case Success(report):
-                self._learn(order, report)
+                self._note_report(order, report)
             case Failure(error):
                 _log.info(
                     "weights: no report", target=order.target, reason=error.reason
                 )
                 return False
-        if self._is_other_start(target, report):
+        if self._has_restarted(target, report):
             return False
         if report.is_changing or self._is_loaded(order):
             return True
@@ -328,14 +328,14 @@
             answer=str(answer),
         )
         match answer:
-            case Success(said):
-                return said in (OrderAnswer.ACCEPTED, OrderAnswer.ALREADY)
+            case Success(outcome):
+                return outcome in (OrderAnswer.ACCEPTED, OrderAnswer.ALREADY)
             case Failure(_):
                 # It may have been taken; the reports will tell.
                 return True
         raise AssertionError("a result is a success or a failure")
 
-    def _is_other_start(self, target: ListedTarget, report: TargetReport) -> bool:
+    def _has_restarted(self, target: ListedTarget, report: TargetReport) -> bool:
         """Tell whether a target has started again since its change was begun.
 
         Its count of orders has begun anew and it holds the weights that it had: the
@@ -354,7 +354,7 @@
         )
         return True
 
-    def _learn(self, order: WeightsOrder, report: TargetReport) -> None:
+    def _note_report(self, order: WeightsOrder, report: TargetReport) -> None:
         self._targets.note_start(TargetStart(order.target, report.started_ms))
         version = report.weights.get(order.model)
         if version is not None and not report.is_changing:
@@ -364,29 +364,34 @@
         known = self._targets.weights_of(order.target, order.model)
         return weights_number(known) >= weights_number(order.version)
 
-    def _learn_load(self, elapsed_seconds: float) -> None:
+    def _note_load_time(self, elapsed_seconds: float) -> None:
         """Learn how long a change takes until a report shows it."""
-        gain = LOAD_GAIN if self._load_seconds else 1.0
-        self._load_seconds += gain * (elapsed_seconds - self._load_seconds)
+        gain = LOAD_TIME_GAIN if self._mean_load_seconds else 1.0
+        self._mean_load_seconds += gain * (elapsed_seconds - self._mean_load_seconds)
 
     async def _wait_loaded(self, target: ListedTarget, order: WeightsOrder) -> bool:
         """Ask until the weights are in place; False when that takes too long."""
         ordered_seconds = self._clock.now_seconds()
         elapsed_seconds = 0.0
-        pause_seconds = max(ASK_SECONDS, ASK_FIRST_SHARE * self._load_seconds)
-        while elapsed_seconds < LOAD_SECONDS:
+        pause_seconds = max(
+            LOAD_POLL_SECONDS, FIRST_POLL_SHARE * self._mean_load_seconds
+        )
+        while elapsed_seconds < LOAD_TIMEOUT_SECONDS:
             await asyncio.sleep(pause_seconds)
-            pause_seconds = ASK_SECONDS
+            pause_seconds = LOAD_POLL_SECONDS
             elapsed_seconds = self._clock.now_seconds() - ordered_seconds
             match await self._port.read_report(target):
                 case Success(report):
-                    self._learn(order, report)
-                    if self._is_other_start(target, report):
+                    self._note_report(order, report)
+                    if self._has_restarted(target, report):
                         return False
                     if self._is_loaded(order):
-                        self._learn_load(elapsed_seconds)
+                        self._note_load_time(elapsed_seconds)
                         return True
-                    if not report.is_changing and elapsed_seconds > SHOWN_SECONDS:
+                    if (
+                        not report.is_changing
+                        and elapsed_seconds > ORDER_VISIBLE_SECONDS
+                    ):
                         return False
                 case Failure(error):
                     _log.info(
--- a/lycheepost/operators/weightsnews.py
+++ b/lycheepost/operators/weightsupdates.py
@@ -13,36 +13,38 @@
 from lycheepost.generated.messages import TargetChanging, TargetsChanging
 from lycheepost.state.targetlist import TargetList, WeightsChange
 
-TOGETHER_SECONDS = 0.02
+BATCH_SECONDS = 0.02
 """How long a change waits for others: a sixth of the time for which targets are left
 alone before their orders."""
 
 
-class WeightsNews:
+class WeightsUpdates:
     """Collects changes and tells them, here at once and to the peers together.
 
     Args:
         targets: The targets of this daemon.
-        tell: Tells the peers.
+        notify_peers: Tells the peers.
     """
 
     def __init__(
-        self, targets: TargetList, tell: Callable[[TargetsChanging], None]
+        self, targets: TargetList, notify_peers: Callable[[TargetsChanging], None]
     ) -> None:
         self._targets = targets
-        self._tell = tell
-        self._waiting: list[WeightsChange] = []
+        self._notify_peers = notify_peers
+        self._pending: list[WeightsChange] = []
 
-    def tell(self, change: WeightsChange) -> None:
+    def publish(self, change: WeightsChange) -> None:
         """Tell a change."""
         self._targets.note_changes((change,))
-        if not self._waiting:
-            asyncio.get_running_loop().call_later(TOGETHER_SECONDS, self._flush)
-        self._waiting.append(change)
+        if not self._pending:
+            asyncio.get_running_loop().call_later(BATCH_SECONDS, self._flush)
+        self._pending.append(change)
 
     def _flush(self) -> None:
-        changes, self._waiting = self._waiting, []
-        self._tell(TargetsChanging(changes=[to_message(item) for item in changes]))
+        changes, self._pending = self._pending, []
+        self._notify_peers(
+            TargetsChanging(changes=[to_message(item) for item in changes])
+        )
 
 
 def to_message(change: WeightsChange) -> TargetChanging:
