--- a/lycheepost/operators/access.py
+++ b/lycheepost/operators/access.py
@@ -1,8 +1,8 @@
-"""Who may use the operators' API.
+"""Authentication of the operators' API.
 
-Operator keys are known by their hashes in the settings, caller keys by theirs in
-the configuration. A caller key opens nothing here, and an operator key opens
-nothing of a customer's.
+Operator keys are identified by their hashes in the settings, caller keys by theirs in
+the configuration. A caller key gives no access to this API, and an operator key gives
+no access to a customer's data.
 """
 
 import hmac
@@ -26,8 +26,8 @@
     """The operator behind one call.
 
     Attributes:
-        name: First characters of the key's hash; enough to tell who did what.
-        key: The key itself, held only while the call lasts.
+        name: First characters of the key's hash; identifies the operator in records.
+        key: The key itself, kept only for the duration of the call.
     """
 
     name: str
@@ -37,7 +37,7 @@
 def identify_operator(
     deps: OperatorDeps, authorization: str | None
 ) -> Result[Operator, OperatorError]:
-    """Return the operator of an ``Authorization`` header, or the refusal."""
+    """Return the operator of an ``Authorization`` header, or the error."""
     scheme, _, key = (authorization or "").partition(" ")
     key = key.strip()
     if scheme.lower() != _SCHEME or not key:
--- a/lycheepost/operators/basis.py
+++ b/lycheepost/operators/basis.py
@@ -1,11 +1,11 @@
-"""Tell whether, and how, the configuration moved since a plan was made.
+"""Find what changed in the configuration since a plan was made.
 
-By default a plan is confirmed only if no other operator's plan was confirmed
-since its basis: the operator decided on what they saw. At many changes a minute
-that would refuse nearly every confirm, so a confirm may allow changes that have
-nothing to do with the plan; what the plan itself looked at must never have
-moved. Progress of capacity intents makes revisions too, and counts only where
-it touches what the plan looked at, or a rollout could not be paused.
+By default a plan can be confirmed only if no other operator's plan was confirmed since
+its basis, because the operator decided on that configuration. At many changes a minute
+this would refuse nearly every confirm, so a confirm may allow changes that are
+unrelated to the plan; the items that the plan read or changed must be unchanged in any
+case. Progress of capacity intents creates revisions as well. It counts only where it
+changes an item of the plan, since otherwise a running rollout could not be paused.
 """
 
 from lycheepost.generated.configuration import AppliedPlan, Configuration
@@ -18,14 +18,14 @@
 
 
 def find_applied_plan(configuration: Configuration, plan_id: str) -> AppliedPlan | None:
-    """Return the entry of a plan that this configuration remembers."""
+    """Return the entry of a plan in the configuration's history, if any."""
     return next(
         (entry for entry in configuration.applied_plans if entry.plan == plan_id), None
     )
 
 
 def has_history_since(configuration: Configuration, revision: int) -> bool:
-    """Return whether every plan confirmed after ``revision`` is remembered."""
+    """Return whether the history lists every plan confirmed after ``revision``."""
     entries = configuration.applied_plans
     return len(entries) < MAX_APPLIED_PLANS or entries[0].revision <= revision
 
@@ -33,7 +33,7 @@
 def find_basis_changes(
     plan: Plan, configuration: Configuration, allow_unrelated: bool
 ) -> list[Fault]:
-    """Return everything that moved since the plan's basis; empty to go on."""
+    """Return all changes since the plan's basis that prevent its confirm."""
     moved = _find_changed_items(plan, configuration)
     if allow_unrelated:
         return moved
--- a/lycheepost/operators/callerkeys.py
+++ b/lycheepost/operators/callerkeys.py
@@ -1,10 +1,10 @@
-"""Caller keys that a daemon makes when a plan is confirmed.
+"""Caller keys that a daemon generates when a plan is confirmed.
 
-A key must be shown exactly once, only if its plan was applied, be kept nowhere,
-and yet not be lost with a lost answer. So it is not drawn at random but derived
-from things that only the confirming call brings together: the operator's key
-and the call's idempotency key, both secret and neither kept. The same call
-repeated, on any daemon, gives the same caller key again; any other call cannot.
+A key is shown only if its plan was applied and is stored nowhere, yet it must not be
+lost when a response is lost. So it is not random but derived from the operator's key
+and the call's idempotency key, which are both secret, not stored, and known together
+only to the confirming call. Repeating the same call on any daemon yields the same
+caller key; no other call can derive it.
 """
 
 import base64
@@ -20,9 +20,9 @@
 def derive_caller_key(
     operator_key: str, confirm_token: str, plan_id: PlanId, customer: str
 ) -> str:
-    """Return the caller key that this confirm makes for ``customer``."""
+    """Return the caller key that this confirm generates for ``customer``."""
     parts = (confirm_token.encode(), plan_id.encode(), customer.encode())
-    # Lengths keep two different splits of the same text apart.
+    # Length prefixes keep different splits of the same bytes distinct.
     message = b"".join(len(part).to_bytes(4, "big") + part for part in parts)
     digest = hmac.digest(operator_key.encode(), _PURPOSE + message, hashlib.sha256)
     return CALLER_KEY_PREFIX + base64.urlsafe_b64encode(digest).decode().rstrip("=")
--- a/lycheepost/operators/capacity.py
+++ b/lycheepost/operators/capacity.py
@@ -1,15 +1,15 @@
-"""Decide the next moves of all capacity intents.
+"""Decide the next steps of all capacity intents.
 
-This is a pure function of what is recorded, what is observed and the time.
-Whoever holds the duty calls it again and again, records the returned revision
-and sends the returned actions. Nothing is kept between two calls, so another
-holder goes on from the same place. Three promises hold at every call:
+This is a pure function of the configuration, the observations and the time. The holder
+of the capacity duty calls it repeatedly, commits the returned revision and sends the
+returned actions. No state is kept between calls, so another holder can continue from
+the same point. Three invariants hold at every call:
 
 - no more targets load than the group's ``concurrent_loads``, across holders,
-  since a load's slot is taken in the committed revision before its order goes;
-- no serving target is taken out while fewer than ``min_serving`` others, or
-  than a running hold asks for, surely serve;
-- a target is ordered to load only when it runs nothing.
+  since a load slot is taken in the committed revision before the order is sent;
+- no serving target is taken out of service unless at least ``min_serving`` others,
+  and as many as a running hold requires, are certain to serve;
+- a target is ordered to load only when it runs no requests.
 """
 
 import dataclasses
@@ -52,8 +52,8 @@
     CapacityIntentKind.CHANGE_ROLE,
     CapacityIntentKind.RETIRE,
 )
-"""Whose steps take a free load first: what hurts callers now, then what brings
-capacity, then what takes it."""
+"""Which intents take a free load slot first: those that repair current failures, then
+those that add capacity, then those that remove it."""
 
 
 def decide_capacity(
@@ -62,13 +62,13 @@
     now_wall_seconds: float,
     timing: CapacityTiming,
 ) -> CapacityDecision:
-    """Return the next revision to record and what to send now.
+    """Return the next revision to commit and the actions to send now.
 
     Args:
         configuration: The revision in force, with all intents and their steps.
-        observed: What is known of targets; one left out counts as unseen.
-        now_wall_seconds: Now, as seconds since the Unix epoch.
-        timing: Times to keep.
+        observed: State of targets; a missing target counts as unseen.
+        now_wall_seconds: Current time, as seconds since the Unix epoch.
+        timing: Time limits and delays.
     """
     draft = Draft(configuration)
     actions: list[CapacityAction] = []
@@ -102,10 +102,10 @@
     members: dict[str, list[Target]],
     observed: Observations,
 ) -> set[str]:
-    """Return the groups in which anything may be due.
+    """Return the groups in which a step may be due.
 
-    Most groups are quiet most of the time, and a look must not cost the daemon
-    that holds the duty, and the streams on its core, more than a few ms.
+    Most groups have nothing to do most of the time, and a call must not take more than
+    a few ms, since the daemon relays streams on the same core.
     """
     with_intents = {intent.target_group for intent in configuration.capacity_intents}
     wrong = {name for name, item in observed.items() if item.wrong_seconds > 0}
@@ -174,10 +174,11 @@
 
 
 def _begin_new_weights(context: GroupContext, intent: CapacityIntent) -> None:
-    """Let requests be served with both versions, and say who holds which.
+    """Allow both versions for requests, and record which target holds which.
 
-    A target without a version of its own follows its model; when the model's
-    version changes at the end, it must not seem to have changed with it.
+    A target without a version of its own follows its model. It must be recorded with
+    the version that it holds now, or it would appear to change with the model at the
+    end.
     """
     model = context.model()
     if model is None:
@@ -197,8 +198,8 @@
 def _add_missing_steps(context: GroupContext, intent: CapacityIntent) -> bool:
     """Add a step for each target that does not hold the new version.
 
-    A target whose step is done may have changed since: another intent loaded it
-    again, or its VM came back after it seemed gone.
+    A target whose step is done may have changed since: another intent may have loaded
+    it again, or its VM may have returned after it was assumed lost.
     """
     model = context.model()
     open_steps = {
@@ -252,7 +253,7 @@
 
 
 def _end_new_weights(context: GroupContext, intent: CapacityIntent, note: str) -> None:
-    """Let requests ask for the new version alone, once enough targets hold it."""
+    """Restrict requests to the new version once enough targets hold it."""
     if _add_missing_steps(context, intent):
         return
     model = context.model()
@@ -272,7 +273,7 @@
 
 
 def _drop_old_intents(context: GroupContext, timing: CapacityTiming) -> None:
-    """Drop intents that ended long ago, so that the configuration stays small."""
+    """Drop intents that ended long ago, to keep the configuration small."""
     for intent in list(context.intents.values()):
         if intent.state in UNFINISHED:
             continue
--- a/lycheepost/operators/capacity_changes.py
+++ b/lycheepost/operators/capacity_changes.py
@@ -1,9 +1,8 @@
 """Apply the capacity changes of an intent: create, pause, resume, cancel.
 
-A capacity intent is only recorded by its plan; ``capacity`` carries it out over
-time. What the plan can know beforehand, it says: the steps, how long they take
-at the weight store's rate with the group's ``concurrent_loads``, and what stands
-against it.
+A plan only records a capacity intent; ``capacity`` executes it over time. The plan
+states what can be known in advance: the steps, their duration at the weight store's
+rate with the group's ``concurrent_loads``, and conflicts.
 """
 
 import math
@@ -56,7 +55,7 @@
 def apply_capacity_change(
     draft: Draft, change: CapacityChange, context: CapacityContext
 ) -> ChangeResult:
-    """Record a capacity change in the draft, or return why it cannot be."""
+    """Record a capacity change in the draft, or return its faults."""
     match change:
         case HoldReady():
             return _hold_ready(draft, change, context)
--- a/lycheepost/operators/capacity_control.py
+++ b/lycheepost/operators/capacity_control.py
@@ -39,7 +39,7 @@
 def control_intent(
     draft: Draft, change: IntentControl, context: CapacityContext
 ) -> ChangeResult:
-    """Change the state of an intent as an operator asks."""
+    """Pause, resume or cancel an intent."""
     subject = f"capacity_intents/{change.intent}"
     faults = check_present(draft, subject, "intent")
     if faults:
@@ -65,7 +65,7 @@
 
 
 def _resume(intent: CapacityIntent) -> CapacityIntent:
-    """Return the intent running again, its failed steps to be tried again."""
+    """Return the intent in running state, with its failed steps to be retried."""
     steps = [
         dataclasses.replace(step, state=CapacityStepState.WAITING, note="")
         if step.state is CapacityStepState.FAILED
--- a/lycheepost/operators/capacity_estimates.py
+++ b/lycheepost/operators/capacity_estimates.py
@@ -1,4 +1,4 @@
-"""How long a capacity change takes, as its plan says beforehand."""
+"""Estimated durations of capacity changes, for their plans."""
 
 import math
 from collections.abc import Mapping
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True)
 class CapacityContext:
-    """What planning a capacity change needs beside the configuration.
+    """What planning a capacity change needs in addition to the configuration.
 
     Attributes:
-        intent_name: Name that the new intent gets; the same at the confirm.
-        now_wall_seconds: Now, as seconds since the Unix epoch.
-        weights: What the weight store said of the versions asked for.
-        drain_seconds: Shortest time for a target to run empty.
-        warm_step_seconds: Time between two rises of a warming target's share.
+        intent_name: Name of the new intent; the same at plan and confirm.
+        now_wall_seconds: Current time, as seconds since the Unix epoch.
+        weights: What the weight store reported about the requested versions.
+        drain_seconds: Minimum time for a target to drain.
+        warm_step_seconds: Interval between increases of a warming target's share.
     """
 
     intent_name: str
@@ -41,7 +41,7 @@
 
     @property
     def warm_seconds(self) -> float:
-        """Return how long a loaded target takes to its full share."""
+        """Return the time from a target's load until it has its full share."""
         return self.warm_step_seconds * (len(SERVING_SHARES) - 1)
 
 
@@ -56,7 +56,7 @@
 
 
 def serving_of(targets: list[Target]) -> list[Target]:
-    """Return those of ``targets`` that serve."""
+    """Return the ``targets`` whose desired state is serving."""
     serving = TargetDesiredState.SERVING
     return [target for target in targets if target.desired_state is serving]
 
@@ -75,7 +75,7 @@
 def estimate_load(
     model: Model | None, version: str, context: CapacityContext
 ) -> tuple[float, list[PlanConflict]]:
-    """Return the time of one load, and a conflict when it is not known."""
+    """Return the duration of one load, and a conflict if it is not known."""
     if model is None:
         return 0.0, []
     key = (model.model, version or model.weights_version)
@@ -97,10 +97,11 @@
     load_seconds: float,
     context: CapacityContext,
 ) -> tuple[float, list[PlanConflict]]:
-    """Return how long it takes to change targets while enough others serve.
+    """Return the time to change targets while enough others serve.
 
-    Standby targets cost no capacity; of the serving ones no more are out than
-    ``min_serving`` leaves, and they count again only once they are warm.
+    Changing standby targets reduces no capacity. Of the serving ones, only as many are
+    out of service at once as ``min_serving`` permits, and each counts again only after
+    warming.
     """
     serving = serving_of(members_of(draft, group.target_group))
     n_spare = len(serving) - group.min_serving
--- a/lycheepost/operators/capacity_group.py
+++ b/lycheepost/operators/capacity_group.py
@@ -1,9 +1,9 @@
-"""One target group while capacity steps are decided: who serves, who loads.
+"""State of one target group during capacity decisions: serving and loading targets.
 
-Two counts guard everything. ``loading_targets`` holds every target that may be reading
-weights: each with a draining or loading step, each that says so itself, and each
-whose load failed without proof that it stopped. ``n_ready`` holds only targets
-that surely serve all their traffic. Both err towards doing less.
+Decisions rely on two conservative counts. ``loading_targets`` holds every target that
+may be reading weights: each with a draining or loading step, each that reports loading,
+and each whose load failed without proof that it stopped. ``n_ready`` counts only
+targets that are certain to serve their full share of traffic.
 """
 
 import dataclasses
@@ -49,14 +49,14 @@
 
 
 class GroupContext:
-    """The targets, intents and steps of one group, as a draft of the next revision.
+    """The targets, intents and steps of one group, in a draft of the next revision.
 
     Args:
-        draft: What the next revision is to hold.
+        draft: Draft of the next revision.
         group: The group.
         targets: Its targets.
-        observed: What is known of them.
-        now_wall_seconds: Now, as seconds since the Unix epoch.
+        observed: Observed state of the targets.
+        now_wall_seconds: Current time, as seconds since the Unix epoch.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         }
 
     def model(self) -> Model | None:
-        """Return the group's model; None when it serves none or several."""
+        """Return the group's model; None if it serves none or several."""
         models = [
             model
             for model in self.draft.all("models")
@@ -91,17 +91,17 @@
         return models[0] if len(models) == 1 else None
 
     def observe(self, target: str) -> Observed:
-        """Return what is known of a target."""
+        """Return the observed state of a target."""
         return self._observed.get(TargetId(target), UNSEEN)
 
     def put_target(self, target: Target) -> None:
-        """Change a target in the draft."""
+        """Replace a target in the draft."""
         self.targets[target.target] = target
         self.draft.put(target)
         self._n_ready = None
 
     def put_intent(self, intent: CapacityIntent) -> None:
-        """Change an intent in the draft, with its progress counted again."""
+        """Replace an intent in the draft and update its step counts."""
         done = sum(step.state is CapacityStepState.DONE for step in intent.steps)
         counted = dataclasses.replace(
             intent, n_steps=len(intent.steps), n_steps_done=done
@@ -111,10 +111,10 @@
         self._loading_targets = self._n_ready = self._busy_targets = None
 
     def put_steps(self, intent: str, steps: Iterable[CapacityStep]) -> None:
-        """Change the steps of some targets, or add them.
+        """Replace or add the steps of some targets.
 
-        A step keeps its highest desired version: above zero it tells that an
-        order may have gone out, and so that the target may be loading.
+        A step keeps its highest desired version. A version above zero means that an
+        order may have been sent, so the target may be loading.
         """
         owner = self.intents[intent]
         known = {step.target: step for step in owner.steps}
@@ -125,7 +125,7 @@
         self.put_intent(dataclasses.replace(owner, steps=list(known.values())))
 
     def drop_step(self, intent: str, target: str) -> None:
-        """Forget the step of one target."""
+        """Remove the step of one target."""
         owner = self.intents[intent]
         kept = [step for step in owner.steps if step.target != target]
         self.put_intent(dataclasses.replace(owner, steps=kept))
@@ -137,7 +137,7 @@
         ]
 
     def busy_targets(self) -> set[str]:
-        """Return the targets that are in the midst of a step."""
+        """Return the targets with an active step."""
         if self._busy_targets is None:
             self._busy_targets = {
                 step.target for _, step in self.steps() if step.state in ACTIVE_STEPS
@@ -145,7 +145,7 @@
         return self._busy_targets
 
     def loading_targets(self) -> set[str]:
-        """Return every target that may be reading weights now or shortly."""
+        """Return every target that may be reading weights now or soon."""
         if self._loading_targets is None:
             self._loading_targets = self._find_loading_targets()
         return self._loading_targets
@@ -162,11 +162,11 @@
         return loading
 
     def _may_load(self, target: str) -> bool:
-        """Return whether a target whose load was given up may still be loading.
+        """Return whether a target with an abandoned load may still be loading.
 
-        A load that never finishes goes on reading the weight store. Until the
-        target itself says that it does not load, or its VM is gone, its slot
-        stays taken; else a stuck target would let one more load begin.
+        A load that hangs continues to read the weight store. Its slot stays taken until
+        the target reports that it is not loading, or its VM is gone; otherwise a
+        hanging target would allow one load too many.
         """
         observed = self.observe(target)
         if target not in self.targets or observed.is_lost:
@@ -182,7 +182,7 @@
         )
 
     def is_ready(self, target: Target) -> bool:
-        """Return whether a target surely serves its full share of traffic."""
+        """Return whether a target is certain to serve its full share of traffic."""
         if target.desired_state is not TargetDesiredState.SERVING:
             return False
         if target.serving_share < FULL_SHARE or target.target in self.busy_targets():
@@ -195,7 +195,7 @@
         return name in self.targets and self.is_ready(self.targets[name])
 
     def _holds_accepted(self, target: Target, observed: Observed) -> bool:
-        """Return whether a target may serve, by what is recorded and reported."""
+        """Return whether the recorded and reported weights permit serving."""
         health = observed.health
         if health is not None and health.state is not EngineHealthState.SERVING:
             return False
@@ -207,13 +207,13 @@
         return reported == held and held in accepted_versions(model)
 
     def n_ready(self) -> int:
-        """Return how many targets surely serve."""
+        """Return the number of targets that are certain to serve."""
         if self._n_ready is None:
             self._n_ready = sum(map(self.is_ready, self.targets.values()))
         return self._n_ready
 
     def required_serving(self) -> int:
-        """Return how many targets must be serving at any time now."""
+        """Return the number of targets that must be serving now."""
         holds = [
             intent.n_targets
             for intent in self.intents.values()
@@ -224,33 +224,34 @@
         return max([self.group.min_serving, *holds])
 
     def may_take_out(self, target: Target) -> bool:
-        """Return whether enough others serve for ``target`` to stop."""
+        """Return whether enough others serve for ``target`` to be taken out."""
         if self.is_ready(target):
             return self.n_ready() - 1 >= self.required_serving()
         if self.has_unrequested_weights(target):
             return True
-        # It does not serve, as far as is known. But if it is only unseen, taking
-        # it out while too few are ready would end what it may yet do.
+        # The target is not known to serve. It may only be unseen, however, so it is not
+        # taken out while too few others are ready.
         return self.n_ready() >= self.required_serving()
 
     def has_unrequested_weights(self, target: Target) -> bool:
-        """Return whether a target answers and has weights nobody asks it for."""
+        """Return whether a target responds but holds weights that no request uses."""
         observed = self.observe(target.target)
         answers = observed.health is not None
         return answers and not self._holds_accepted(target, observed)
 
     def may_still_load(self, intent: CapacityIntent) -> bool:
-        """Return whether an intent's record keeps a load slot taken."""
+        """Return whether an intent's steps still hold a load slot."""
         return bool(self.loading_targets() & {step.target for step in intent.steps})
 
 
 def find_overlaps(
     draft: Draft, group: str, targets: set[str], kind: CapacityIntentKind
 ) -> list[PlanConflict]:
-    """Return the unfinished intents that want something of the same targets.
+    """Return conflicts with unfinished intents on the same targets.
 
-    Two intents of one kind on the same targets are one wish too many and block;
-    others take turns on each target, and the operator is told.
+    Two intents of one kind on the same targets contradict each other and block the
+    plan. Intents of different kinds take turns on each target, and the conflict only
+    informs the operator.
     """
     conflicts = []
     for intent in draft.all("capacity_intents"):
--- a/lycheepost/operators/capacity_holds.py
+++ b/lycheepost/operators/capacity_holds.py
@@ -1,4 +1,4 @@
-"""Keep a held number of targets ready, and let them go again."""
+"""Steps of holds: keep a number of targets ready, and release them at the end."""
 
 import dataclasses
 
@@ -21,14 +21,14 @@
 
 
 def fill_hold(context: GroupContext, intent: CapacityIntent) -> None:
-    """Keep enough steps under way for the held number to serve."""
+    """Add the steps that are missing for the held number of targets to serve."""
     if is_released(intent):
         _release(context, intent)
         return
     if intent.state is not CapacityIntentState.RUNNING:
         return
     model = context.model()
-    # While the model changes, what comes up now comes up with the new weights.
+    # While the model changes, targets that start now load the new weights.
     version = "" if model is None else newest_version(model)
     starting = {
         step.target
@@ -58,7 +58,7 @@
 
 
 def _release(context: GroupContext, intent: CapacityIntent) -> None:
-    """Let the targets of an ended hold stand by again, as far as others serve."""
+    """Return the targets of an ended hold to standby, as far as enough others serve."""
     busy_elsewhere = {
         step.target
         for owner, step in context.steps()
--- a/lycheepost/operators/capacity_newsteps.py
+++ b/lycheepost/operators/capacity_newsteps.py
@@ -1,4 +1,4 @@
-"""New steps: how they begin, and in which order targets are taken."""
+"""Creation of steps, and the order in which targets are chosen."""
 
 from itertools import groupby
 
@@ -11,7 +11,7 @@
 
 
 def waiting_step(target: str, weights_version: str) -> CapacityStep:
-    """Return the step of a target that nothing has been done to."""
+    """Return a new step that waits to start."""
     return CapacityStep(
         target=target,
         state=CapacityStepState.WAITING,
@@ -20,10 +20,10 @@
 
 
 def spread_over_zones(targets: list[Target]) -> list[Target]:
-    """Return standby targets first, then the others by turns of their zones.
+    """Return standby targets first, then the others, alternating between zones.
 
-    A standby target costs no capacity; and two targets that are out at once
-    should not be half of what one availability zone has.
+    Changing a standby target reduces no capacity. Alternating keeps two targets that
+    are out at the same time from being half of one availability zone's capacity.
     """
 
     def zone(target: Target) -> str:
@@ -39,5 +39,5 @@
 
 
 def is_open(step: CapacityStep) -> bool:
-    """Return whether a step still claims its target."""
+    """Return whether a step is not done, and so still reserves its target."""
     return step.state is not CapacityStepState.DONE
--- a/lycheepost/operators/capacity_observer.py
+++ b/lycheepost/operators/capacity_observer.py
@@ -1,11 +1,11 @@
-"""What the holder of the capacity duty knows of targets, kept in memory.
-
-Reading all of 12,000 targets every two seconds would cost more than a daemon may
-spend on control. So a look asks the targets in the midst of a step, those seen
-loading or with wrong weights, the next few to begin, and a few of all others by
-turns. A new holder begins with nothing, asks every target of a group with open
-intents once, and only then decides: an earlier holder's order may have done
-something that is not recorded.
+"""Observations of targets by the holder of the capacity duty, kept in memory.
+
+Reading all of 12,000 targets every two seconds would exceed a daemon's budget for
+control traffic. So each tick reads the targets with active steps, those seen loading or
+with wrong weights, the next few to begin, and a few of all others in turn. A new holder
+starts without observations, reads every target of a group with open intents once, and
+only then decides, since an order of an earlier holder may have had effects that are not
+recorded.
 """
 
 import asyncio
@@ -42,13 +42,13 @@
 _MAX_WAITING_READS_PER_INTENT = 8
 _VM_LIST_INTERVAL_SECONDS = 10.0
 _GONE_AFTER_SECONDS = 60.0
-"""A target counts as gone once the list has been without it for this long: one
-listing may be partial, and a slot freed too soon lets one load too many begin."""
+"""A target counts as gone after it has been missing from the list for this long: one
+listing may be incomplete, and a slot freed too early allows one load too many."""
 
 
 @dataclass
 class VmListing:
-    """Targets that the VM list has named, and since when it does not."""
+    """Targets that the VM list has named, and since when it omits them."""
 
     absent_since_seconds: dict[TargetId, float]
     known: set[TargetId]
@@ -56,10 +56,10 @@
 
 
 class CapacityObserver:
-    """Asks targets and remembers what it must between two looks.
+    """Reads targets and keeps what is needed between two ticks.
 
     Args:
-        deps: Where to ask.
+        deps: Dependencies through which targets are read.
     """
 
     def __init__(self, deps: CapacityDeps) -> None:
@@ -73,7 +73,7 @@
         self._listing = VmListing({}, set())
 
     def reset(self, configuration: Configuration) -> None:
-        """Begin as a new holder: every target with open intents is to be asked."""
+        """Start as a new holder, which must read every target with open intents."""
         groups = open_groups(configuration)
         self._not_yet_read = {
             TargetId(target.target)
@@ -86,14 +86,14 @@
 
     @property
     def has_read_back(self) -> bool:
-        """Return whether every target to be asked at first has been asked."""
+        """Return whether every target that a new holder must read has been read."""
         return not self._not_yet_read
 
     async def observe(self, view: ConfigurationView) -> dict[TargetId, Observed]:
-        """Ask the targets that matter now; return what is known of them.
+        """Read the targets that are due; return the observations.
 
-        All targets of groups with something to do are in the answer, asked or
-        not, since decisions there count who serves.
+        The result contains all targets of groups with work, read or not, since
+        decisions there count serving targets.
         """
         await self._read_listing()
         configuration = view.configuration
@@ -118,10 +118,11 @@
             configuration, set(ACTIVE_STEPS)
         ) | _possibly_loading(configuration)
         first = dict.fromkeys([*stepping, *self._loading, *self._wrong_since_seconds])
-        # The limit bounds the others only: were targets in the midst of a step
-        # to use it up, a new holder would never have asked all the rest. And half
-        # of it is kept for turns, or a target that came back from a crash with
-        # other weights would count as serving for as long as steps wait.
+        # The limit applies only to the other targets: if targets with active steps used
+        # it up, a new holder would never finish reading the rest. Half of it is
+        # reserved for reading all targets in turn; otherwise a target that restarted
+        # after a crash with other weights would count as serving for as long as steps
+        # wait.
         next_reads = [*sorted(self._not_yet_read), *_next_waiting(configuration)]
         next_reads = next_reads[: limit if self._not_yet_read else limit // 2]
         asked = dict.fromkeys([*first, *next_reads])
@@ -164,8 +165,8 @@
         for name, answer in answered.items():
             if answer.health is None:
                 self._silent.add(name)
-                # A target that is silent since it was seen loading, or with
-                # other weights, may be so still.
+                # A target that stopped responding after it was seen loading, or with
+                # other weights, may still be in that state.
                 continue
             self._silent.discard(name)
             if answer.health.state is EngineHealthState.LOADING:
@@ -209,8 +210,8 @@
         state: TargetState | None,
         now_seconds: float,
     ) -> Observed:
-        # What was last seen silent or wrong is not ready until it is seen well,
-        # whatever others say of it.
+        # A target that last did not respond or had wrong weights is not ready until it
+        # is seen in order, whatever others report.
         is_unreliable = name in self._wrong_since_seconds or name in self._silent
         wrong_since = self._wrong_since_seconds.get(name, now_seconds)
         return Observed(
@@ -239,7 +240,8 @@
         present = {
             TargetId(vm.name) for vm in listed.unwrap() if vm.role is VmRole.TARGET
         }
-        # Only what was listed once can be missed: fixed targets never are.
+        # Only VMs that were listed before can go missing. Fixed targets are never
+        # listed and so never count as missing.
         listing.known |= present
         for name in present:
             listing.absent_since_seconds.pop(name, None)
@@ -248,7 +250,7 @@
 
 
 def _is_wrong(target: Target, model: Model | None, health: EngineHealth) -> bool:
-    """Return whether a target that is to serve cannot, by its own word."""
+    """Return whether a target that should serve reports that it cannot."""
     if target.desired_state is not TargetDesiredState.SERVING:
         return False
     held = held_version(target, model)
@@ -258,7 +260,7 @@
 
 
 def open_groups(configuration: Configuration) -> set[str]:
-    """Return the target groups in which an intent is not at its end."""
+    """Return the target groups with an unfinished intent."""
     return {
         intent.target_group
         for intent in configuration.capacity_intents
--- a/lycheepost/operators/capacity_ports.py
+++ b/lycheepost/operators/capacity_ports.py
@@ -1,4 +1,4 @@
-"""What carrying out capacity intents needs of the other parts."""
+"""Ports through which capacity intents are executed."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -24,43 +24,43 @@
 
 
 class OrderPort(Protocol):
-    """Orders to engines and what they report of themselves."""
+    """Orders to engines, and the engines' reports."""
 
     async def send(
         self, target: Target, order: EngineOrder
     ) -> Result[EngineOrderAnswer, LycheepostError]:
-        """Tell a target its desired end state."""
+        """Send a target its desired end state."""
         ...
 
     async def read_state(self, target: Target) -> Result[EngineHealth, LycheepostError]:
-        """Return what a target says it is."""
+        """Return the state that a target reports."""
         ...
 
     async def read_load(self, target: Target) -> Result[EngineLoad, LycheepostError]:
-        """Return what a target says it runs."""
+        """Return the load that a target reports."""
         ...
 
 
 class WarmPort(Protocol):
-    """Imports of kept KV blocks."""
+    """Imports of stored KV blocks."""
 
     async def warm(
         self, target: Target, model: ModelId, weights_version: WeightsVersion
     ) -> Result[int, LycheepostError]:
-        """Import the hottest kept prefixes; return how many tokens."""
+        """Import the most used stored prefixes; return the number of tokens."""
         ...
 
 
 @dataclass(frozen=True)
 class CapacityDeps:
-    """Everything that the capacity runner stands on.
+    """Dependencies of the capacity runner.
 
     Attributes:
-        states: The most pessimistic sign of each target.
-        is_candidate: Whether this daemon stands ready for the duty; only a few
-            do, so that the others need not read the lease.
-        vms: Tells which targets are gone for good; None where nothing lists them.
-        warm: None where no KV is kept.
+        states: Returns the most pessimistic reported state of each target.
+        is_candidate: Whether this daemon is a candidate for the duty; only a few are,
+            so that the others need not read the lease.
+        vms: Lists the platform's VMs, to find removed targets; None if no list exists.
+        warm: Imports KV blocks; None if none are stored.
     """
 
     revisions: RevisionPort
--- a/lycheepost/operators/capacity_records.py
+++ b/lycheepost/operators/capacity_records.py
@@ -1,4 +1,4 @@
-"""Records that enter and leave the capacity decisions."""
+"""Input and output records of the capacity decisions."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -13,13 +13,14 @@
 from lycheepost.generated.engine import EngineHealth, EngineHealthState
 
 SERVING_SHARES = (0.1, 0.25, 0.5, 1.0)
-"""Shares of normal traffic that a warming target passes through. An engine comes
-back with an empty cache; all its traffic at once would be recomputed prefixes,
-and its callers would wait behind them."""
+"""Successive shares of normal traffic for a warming target. An engine restarts with an
+empty cache; with its full traffic at once, recomputing prefixes would delay its
+callers."""
 FULL_SHARE = 1.0
 FAILED_TARGETS_LIMIT = 2
-"""One failed target may be a bad machine; two of one intent point at the weights
-or the role, and going on would take target after target out of service."""
+"""One failed target may be a faulty machine. Two failed targets of one intent indicate
+a fault in the weights or the role, and continuing would take more targets out of
+service."""
 
 ACTIVE_STEPS = frozenset(
     {
@@ -28,21 +29,21 @@
         CapacityStepState.WARMING,
     }
 )
-"""States in which a target is in the midst of a step."""
+"""States of a step in progress."""
 
 
 @dataclass(frozen=True, slots=True)
 class Observed:
-    """What the daemon that holds the duty knows of one target now.
+    """What the holder of the duty knows about one target now.
 
     Attributes:
-        is_serving: No sign of the target is worse than serving.
-        is_gone: The platform lists its VM no more, so it can load nothing.
-        health: Its answer this time; None when it was not asked or is silent.
-        n_running: Requests it runs; None when unknown.
+        is_serving: No signal about the target is worse than serving.
+        is_gone: The platform no longer lists its VM, so it cannot be loading.
+        health: Its current response; None if it was not asked or did not respond.
+        n_running: Number of requests it runs; None if unknown.
         load_wall_seconds: When ``n_running`` was measured.
-        wrong_seconds: Time since it was first seen with other weights than the
-            configuration says, and not with the right ones since.
+        wrong_seconds: Time since it was first seen with weights other than configured,
+            without having been seen with the right ones since.
     """
 
     is_serving: bool
@@ -54,43 +55,43 @@
 
     @property
     def is_lost(self) -> bool:
-        """Return whether the target surely runs no more.
+        """Return whether the target certainly no longer runs.
 
-        A listing may be partial: a target that answers is there all the same.
+        A listing may be incomplete: a target that responds still exists.
         """
         return self.is_gone and self.health is None
 
     @property
     def is_loading(self) -> bool:
-        """Return whether the target itself says that it loads weights."""
+        """Return whether the target reports that it is loading weights."""
         return (
             self.health is not None and self.health.state is EngineHealthState.LOADING
         )
 
 
 UNSEEN = Observed(is_serving=False)
-"""A target of which nothing is known counts as neither serving nor gone."""
+"""A target without observations counts as neither serving nor gone."""
 
 Observations = Mapping[TargetId, Observed]
 
 
 @dataclass(frozen=True, slots=True)
 class CapacityTiming:
-    """Times that the decisions keep; see ``OperatorSettings``."""
+    """Time limits and delays of the decisions; see ``OperatorSettings``."""
 
     drain_settle_seconds: float = 5.0
     load_timeout_seconds: float = 1800.0
     warm_step_seconds: float = 15.0
     repair_after_seconds: float = 10.0
-    """A target reported with other weights for this long is loaded again; shorter
-    sightings are reports that lag behind a change."""
+    """A target that reports other weights for this long is loaded again; shorter
+    mismatches are reports that lag behind a change."""
     keep_ended_seconds: float = 86_400.0
-    """Ended intents stay in the configuration for a day, for operators to read."""
+    """Ended intents stay in the configuration for a day, for operators to inspect."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderAction:
-    """Tell a target its desired end state; repeated until it has come there."""
+    """Send a target its desired end state; repeated until the target reaches it."""
 
     target: TargetId
     order_id: str
@@ -103,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmAction:
-    """Import kept KV into a target that is about to take traffic."""
+    """Import stored KV into a target that is about to receive traffic."""
 
     target: TargetId
     model: ModelId
@@ -115,13 +116,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CapacityDecision:
-    """What to do now.
+    """The outcome of one decision.
 
     Attributes:
-        configuration: The next revision to commit on the given one; None when
-            nothing is to be recorded.
-        actions: What to send now. They follow only from what is recorded
-            already, so a crash after a send leaves nothing unknown.
+        configuration: The next revision to commit; None if nothing changed.
+        actions: Actions to send now. They depend only on what is already recorded, so a
+            crash after sending leaves no unrecorded effect.
     """
 
     configuration: Configuration | None
@@ -129,7 +129,7 @@
 
 
 def held_version(target: Target, model: Model | None) -> str:
-    """Return the weights that the configuration says ``target`` holds."""
+    """Return the weights that ``target`` holds according to the configuration."""
     if target.weights_version or model is None:
         return target.weights_version
     return model.weights_version
--- a/lycheepost/operators/capacity_repairs.py
+++ b/lycheepost/operators/capacity_repairs.py
@@ -1,4 +1,4 @@
-"""Find targets that cannot do what is recorded of them, and mend them."""
+"""Find targets that lack their recorded weights, and load them again."""
 
 import dataclasses
 
@@ -24,11 +24,11 @@
 
 
 def plan_repairs(context: GroupContext, timing: CapacityTiming) -> None:
-    """Load again what a target should hold and does not.
+    """Add load steps for targets that do not hold their recorded weights.
 
-    An engine that crashed comes back with the weights it boots with; a target
-    that ignores fencing may have taken a late order of an earlier holder. Both
-    refuse every request meant for them until they hold what is recorded.
+    An engine restarts after a crash with its boot weights; a target that ignores
+    fencing may have accepted a late order of an earlier holder. Both refuse every
+    request for their recorded weights until they hold them.
     """
     model = context.model()
     if model is None:
@@ -52,10 +52,10 @@
 
 
 def _will_load(intent: CapacityIntent, step: CapacityStep) -> bool:
-    """Return whether a step will load its target, so that no repair need.
+    """Return whether a step will load its target, so that no repair is needed.
 
-    A step that waits in a paused intent, or to retire, would keep a target that
-    serves nobody from being mended.
+    Waiting steps of paused intents and of retirements do not count: they would block
+    the repair of a target that cannot serve.
     """
     if step.state in ACTIVE_STEPS:
         return True
@@ -87,7 +87,7 @@
     context: GroupContext, name: str, earlier: CapacityIntent | None
 ) -> CapacityIntent:
     steps = [] if earlier is None else earlier.steps
-    # A failed load may still be under way: its record holds its slot.
+    # A failed load may still be running: its step keeps its load slot.
     failed = [step for step in steps if step.state is CapacityStepState.FAILED]
     return CapacityIntent(
         intent=name,
--- a/lycheepost/operators/capacity_runner.py
+++ b/lycheepost/operators/capacity_runner.py
@@ -1,12 +1,12 @@
-"""Carry out capacity intents: one daemon at a time, under a lease.
-
-Every daemon runs this part; the one that holds the duty's lease looks at the
-configuration and the targets every few seconds, records what ``capacity``
-decides as the next revision, and sends the orders of what was recorded before.
-A holder that is paused past its lease harms nothing: its commit fails since the
-head has moved, it asks the lease at each send by a clock that counts
-suspension, its fencing number is old, and the next holder waits out the lease
-with a margin longer than an order may take, before it reads back and goes on.
+"""Execute capacity intents: one daemon at a time, under a lease.
+
+Every daemon runs this component. Every few seconds the holder of the duty's lease reads
+the configuration and the targets, commits the decisions of ``capacity`` as the next
+revision, and sends the orders that earlier revisions recorded. A holder that is paused
+beyond its lease does no harm: its commit fails because the head revision has changed;
+it checks the lease at each send, by a clock that counts suspension; its fencing number
+is outdated; and the next holder waits for the lease to expire, plus a margin longer
+than an order may take, before it reads the state back and continues.
 """
 
 import asyncio
@@ -36,13 +36,13 @@
 
 DUTY = "capacity"
 _RETRY_JITTER_SECONDS = 1.0
-"""Tries of several daemons for the duty do not fall together."""
+"""Random delay that keeps attempts of several daemons at the lease apart."""
 _SETTLED_STATES = (EngineHealthState.SERVING, EngineHealthState.STANDBY)
 _log = structlog.get_logger(part="capacity")
 
 
 class TickResult(Enum):
-    """What one look came to."""
+    """Outcome of one tick."""
 
     NO_DUTY = "no_duty"
     READING_BACK = "reading_back"
@@ -52,11 +52,11 @@
 
 
 class CapacityRunner:
-    """The part that carries out capacity intents; see ``make_capacity_runner``.
+    """Executes capacity intents; see ``make_capacity_runner``.
 
     Args:
-        deps: What it stands on.
-        seed: Seed of the spread between daemons.
+        deps: Its dependencies.
+        seed: Seed of the random delay between daemons.
     """
 
     def __init__(self, deps: CapacityDeps, seed: int) -> None:
@@ -73,22 +73,22 @@
         self._last_result = TickResult.NO_DUTY
 
     async def start(self) -> None:
-        """Begin to look."""
+        """Start the periodic ticks."""
         self._task = start_task(self._run(), "capacity")
 
     async def drain(self) -> None:
-        """Stop looking and give the duty up, so that another need not wait."""
+        """Stop the ticks and release the lease for another daemon."""
         await self._end_task()
         if self._lease is not None:
             await self._deps.leases.release(self._lease)
             self._lease = None
 
     async def stop(self) -> None:
-        """Stop looking."""
+        """Stop the ticks."""
         await self._end_task()
 
     def status(self) -> dict[str, object]:
-        """Return whether this daemon has the duty and what its last look gave."""
+        """Return whether this daemon has the duty, and its last tick's result."""
         lease = self._lease
         return {
             "has_duty": lease is not None,
@@ -97,7 +97,7 @@
         }
 
     async def tick(self) -> TickResult:
-        """Do everything that is due now, once."""
+        """Do everything that is due now."""
         self._last_result = await self._tick()
         return self._last_result
 
@@ -112,7 +112,7 @@
         unfenced = await self._send_fencing_numbers(view, observed)
         observed |= {name: _without_answer(observed[name]) for name in unfenced}
         if not self._holds_lease():
-            # A pause in the look outlasted the lease: what was seen is old.
+            # The lease expired during a pause: the observations are outdated.
             return TickResult.NO_DUTY
         if not self._observer.has_read_back:
             return TickResult.READING_BACK
@@ -128,7 +128,7 @@
         return await self._record(configuration, decision.configuration)
 
     async def _hold_lease(self) -> bool:
-        """Renew the lease or try for it; return whether it is held now."""
+        """Renew the lease or try to acquire it; return whether it is held."""
         now_seconds = self._deps.clock.now_seconds()
         lease = self._lease
         if lease is not None:
@@ -155,7 +155,7 @@
         return False
 
     async def _begin_duty(self) -> bool:
-        """Read what the holder before recorded; without it nothing is decided."""
+        """Read the revision of the previous holder; return whether that succeeded."""
         refreshed = await self._deps.revisions.refresh()
         if not isinstance(refreshed, Success):
             return False
@@ -174,7 +174,8 @@
         committed = await self._deps.revisions.commit(Revision(basis.revision), changed)
         if isinstance(committed, Success):
             return TickResult.RECORDED
-        # Moved or unknown: the next look must not decide on an old revision.
+        # The head has changed or is unknown: the next tick must not decide on an old
+        # revision.
         refreshed = await self._deps.revisions.refresh()
         self._is_refreshed = self._is_refreshed and isinstance(refreshed, Success)
         return TickResult.NOT_RECORDED
@@ -182,16 +183,16 @@
     async def _send_fencing_numbers(
         self, view: ConfigurationView, observed: dict[TargetId, Observed]
     ) -> set[TargetId]:
-        """Show each target our fencing number before anything else is done.
+        """Send each target this holder's fencing number before anything else.
 
-        A target refuses an old number only once it has seen a newer one. An
-        earlier holder that was paused in the midst of a send may wake at any
-        time; its order must find the newer number there already. Targets without
-        open intents are shown it as they are asked by turns.
+        A target refuses an old number only after it has received a newer one. An
+        earlier holder that was paused during a send may resume at any time; its order
+        must find the newer number already at the target. Targets without open intents
+        get the number when they are read in turn.
 
         Returns:
-            The targets that could not be shown it. What they said may be undone
-            by a late order, so nothing is decided on it.
+            The targets that could not be sent the number. A late order may invalidate
+            what they reported, so no decision is based on it.
         """
         unfenced = set()
         for name, answer in observed.items():
@@ -207,21 +208,22 @@
     async def _send_fencing_number(self, target: Target, health: EngineHealth) -> bool:
         name = TargetId(target.target)
         lease = self._lease
-        # A target that came back from a crash has forgotten the number.
+        # A target that restarted after a crash has lost the number.
         key = (name, health.boot_id)
         if lease is None:
             return False
         if key in self._fenced or health.fencing_number >= lease.fencing_number:
             return True
         if health.state not in _SETTLED_STATES:
-            # An order would end its load; while it loads it holds a slot anyway.
+            # An order would abort its load, and a loading target holds a slot anyway.
             return True
         unchanged_order = EngineOrder(
             order_id=f"stay-{name}-{lease.fencing_number}",
             fencing_number=lease.fencing_number,
             desired_version=health.desired_version,
-            # It names no weights and no role, so that it can begin no load: the
-            # target may have crashed since it was asked, or the order be late.
+            # The order names no weights and no role, so that it cannot start a load:
+            # the target may have crashed since it was read, or the order may arrive
+            # late.
             state=health.state,
         )
         is_sent = await self._send_order(target, unchanged_order)
@@ -262,7 +264,7 @@
         await self._send_order(target, order)
 
     async def _send_order(self, target: Target, order: EngineOrder) -> bool:
-        """Send an order if the lease still holds; return whether it was answered."""
+        """Send an order if the lease is still held; return whether it was answered."""
         if not self._holds_lease():
             return False
         sent = None
@@ -270,15 +272,17 @@
             async with asyncio.timeout(self._deps.settings.order_timeout_seconds):
                 sent = await self._deps.orders.send(target, order)
         except TimeoutError:
-            # Given up before the margin ends, so that it cannot arrive after the
-            # next holder has begun.
+            # Abandoned before the lease margin ends, so that the order cannot arrive
+            # after the next holder has started.
             pass
         if sent is None or not isinstance(sent, Success):
             _log.info("capacity: order not answered", target=target.target)
             return False
         if sent.unwrap().fencing_number > order.fencing_number:
-            # Somebody holds a later lease: whatever our clock says, stop.
-            _log.warning("capacity: overtaken", target=target.target)
+            # Another daemon holds a later lease: stop, whatever the local clock says.
+            _log.warning(
+                "capacity: another daemon holds a later lease", target=target.target
+            )
             self._lease = None
         return True
 
@@ -288,7 +292,7 @@
         if target is None or key in self._warmed:
             return
         self._warmed.add(key)
-        # Imports take seconds: a look that waited for them would lose the lease.
+        # Imports take seconds: waiting for them would cost the lease.
         task = asyncio.create_task(self._import(target, action))
         self._imports.add(task)
         task.add_done_callback(self._imports.discard)
@@ -300,16 +304,18 @@
             target, action.model, action.weights_version
         )
         n_tokens = warmed.value_or(0)
-        _log.info("capacity: warmed", target=action.target, n_tokens=n_tokens)
+        _log.info(
+            "capacity: KV blocks imported", target=action.target, n_tokens=n_tokens
+        )
 
     async def _run(self) -> None:
         while True:
             try:
                 await self.tick()
             except Exception:
-                # The duty must outlive a fault of one look: without it no intent
-                # goes on anywhere, since this daemon would keep the lease.
-                _log.exception("capacity: a look failed")
+                # One failed tick must not end the loop: this daemon would keep the
+                # lease and no intent would progress anywhere.
+                _log.exception("capacity: tick failed")
             await asyncio.sleep(self._deps.settings.capacity_tick_seconds)
 
     async def _end_task(self) -> None:
@@ -338,5 +344,5 @@
 
 
 def make_capacity_runner(deps: CapacityDeps, seed: int = 0) -> CapacityRunner:
-    """Return the part that carries out capacity intents under a lease."""
+    """Return the component that executes capacity intents under a lease."""
     return CapacityRunner(deps, seed)
--- a/lycheepost/operators/capacity_steps.py
+++ b/lycheepost/operators/capacity_steps.py
@@ -1,9 +1,9 @@
-"""Move the step of one target on: drain, load, warm, done.
+"""Advance the step of one target: drain, load, warm, done.
 
-A step waits until a load is free and enough others serve; then its target takes
-no new work (draining), is told its new state once it runs nothing (loading), and
-takes a growing share of traffic (warming). Each move is recorded before anything
-is sent for it.
+A step waits until a load slot is free and enough others serve. Then its target gets no
+new work (draining), is sent its new state once it runs no requests (loading), and gets
+a growing share of traffic (warming). Each transition is recorded before anything is
+sent for it.
 """
 
 import dataclasses
@@ -37,7 +37,7 @@
         CapacityStepState.WARMING,
     }
 )
-"""A load under way is waited for, since it takes up a load slot."""
+"""A load in progress is not abandoned, since it holds a load slot."""
 
 
 def advance_step(
@@ -47,7 +47,7 @@
     timing: CapacityTiming,
     next_revision: int,
 ) -> CapacityAction | None:
-    """Move one step on in the draft; return what is to be sent for it now."""
+    """Advance one step in the draft; return the action to send for it now."""
     target = context.targets.get(step.target)
     if target is None or context.observe(step.target).is_lost:
         _end_lost(context, intent, step, target)
@@ -75,10 +75,10 @@
     step: CapacityStep,
     target: Target | None,
 ) -> None:
-    """End the step of a target that is no more; machines fail every day.
+    """End the step of a target that no longer exists; machines fail every day.
 
-    It does not count as failed: that would stop a long rollout after two VMs
-    that went for reasons of their own.
+    The step does not count as failed: otherwise two unrelated VM failures would stop a
+    long rollout.
     """
     if step.state is CapacityStepState.DONE:
         return
@@ -90,7 +90,7 @@
 def _is_retired_meanwhile(intent: CapacityIntent, target: Target) -> bool:
     """Return whether an operator retired the target while its step was open.
 
-    What was accepted never reverts, so the step must not let it serve again.
+    A retirement is never reverted, so the step must not make the target serve again.
     """
     return (
         intent.kind is not CapacityIntentKind.RETIRE
@@ -132,8 +132,8 @@
         return
     is_serving = target.desired_state is TargetDesiredState.SERVING
     needs_load = intent.kind is not CapacityIntentKind.RETIRE
-    # The cheap checks come first: a rollout over 1,500 targets has nearly all of
-    # its steps waiting here at each look.
+    # The cheap checks come first: in a rollout over 1,500 targets nearly all steps wait
+    # here at each tick.
     if needs_load and not _may_load(context, step):
         return
     if is_serving and not context.may_take_out(target):
@@ -144,8 +144,8 @@
             context, intent, step, CapacityStepState.DRAINING, was_serving=is_serving
         )
         return
-    # A target that stands by may have served until a moment ago and still run
-    # something, so it is drained as well.
+    # A standby target may have served until recently and still run requests, so it is
+    # drained as well.
     is_to_serve = is_serving or intent.kind is CapacityIntentKind.HOLD_READY
     held = held_version(target, context.model())
     context.put_target(
@@ -165,10 +165,9 @@
 def _may_load(context: GroupContext, step: CapacityStep) -> bool:
     observed = context.observe(step.target)
     if observed.health is None or not context.has_free_load_slot(step.target):
-        # A silent target would hold a load slot and do nothing with it.
+        # A target that does not respond would hold a load slot without loading.
         return False
-    # What loads for somebody else is left alone; only a step's own load is begun
-    # again.
+    # A load for another purpose is not disturbed; only a step's own load is restarted.
     return not observed.is_loading or step.desired_version > 0
 
 
@@ -204,12 +203,12 @@
 
 
 def _is_idle(context: GroupContext, step: CapacityStep, timing: CapacityTiming) -> bool:
-    """Return whether the target surely runs nothing any more.
+    """Return whether the target certainly runs no requests.
 
-    A load order ends whatever runs, so a stream would be cut. Daemons may send
-    work until they have the new revision, and load reports lag: only a report
-    measured after the settling time counts. There is no timeout: an answer has
-    a bound on its length, and none is worth cutting for a rollout.
+    A load order aborts running requests, which would truncate streams. Daemons may send
+    work until they have the new revision, and load reports lag, so only a report
+    measured after the settling time counts. There is no time-out: responses are bounded
+    in length, and none should be truncated for a rollout.
     """
     settled_seconds = step.since_wall_seconds + timing.drain_settle_seconds
     observed = context.observe(step.target)
@@ -246,7 +245,7 @@
 def make_order(
     context: GroupContext, intent: CapacityIntent, step: CapacityStep
 ) -> OrderAction:
-    """Return the order of a loading step; the same at every repeat."""
+    """Return the order of a loading step; identical at every repeat."""
     model = context.model()
     state = EngineHealthState.STANDBY
     if step.was_serving:
@@ -272,7 +271,7 @@
 
 
 def _is_executing(health: EngineHealth, order: OrderAction) -> bool:
-    # An order that comes a second time would begin the load again.
+    # A repeated order would restart the load.
     return (
         health.state is EngineHealthState.LOADING
         and health.desired_version == order.desired_version
@@ -304,7 +303,7 @@
 
 
 def is_released(intent: CapacityIntent) -> bool:
-    """Return whether a hold has ended, so that its targets may stand by again."""
+    """Return whether a hold has ended, so that its targets may return to standby."""
     return intent.kind is CapacityIntentKind.HOLD_READY and intent.state in (
         CapacityIntentState.DONE,
         CapacityIntentState.CANCELLED,
@@ -321,13 +320,13 @@
     health = context.observe(step.target).health
     order = make_order(context, intent, step)
     if health is not None and not _is_fulfilled(health, order):
-        # It crashed and came back without what it had loaded.
+        # The target crashed and restarted without its loaded weights.
         standby = dataclasses.replace(target, desired_state=TargetDesiredState.STANDBY)
         context.put_target(standby)
         _set_step_state(context, intent, step, CapacityStepState.WAITING)
         return None
     if health is None:
-        # Nothing shows that it still holds what it loaded.
+        # Without a response it is unknown whether the target still holds its weights.
         return None
     if target.serving_share >= FULL_SHARE:
         _set_step_state(context, intent, step, CapacityStepState.DONE)
--- a/lycheepost/operators/capacity_warm.py
+++ b/lycheepost/operators/capacity_warm.py
@@ -1,10 +1,10 @@
-"""Import kept KV into a target before it takes traffic.
+"""Import stored KV into a target before it receives traffic.
 
-The daemon that drives the change knows the hottest prefixes of its own requests.
-For each it asks a few targets with the same weights for the kept blocks and
-hands them on. An engine refuses blocks of other weights, so nothing computed by
-older weights can get in. It only steers: a prefix that nobody holds any more is
-left out, and the target computes it when it is asked for.
+The daemon that drives the change knows the most used prefixes of its own requests. For
+each of them it asks a few targets with the same weights for the stored blocks and
+passes them on. An engine refuses blocks of other weights, so nothing computed with
+older weights can be imported. Importing is an optimization: a prefix that no target
+holds any more is skipped, and the target computes it on request.
 """
 
 import asyncio
@@ -24,19 +24,20 @@
 from lycheepost.targets.control import ControlClient
 
 MAX_WARMED_PREFIXES = 32
-"""More would take longer than the first rise of the target's share."""
+"""A larger number would take longer than the target's first increase of its share."""
 _MAX_DONORS_ASKED = 3
-"""Owners of a prefix come first in its rendezvous order."""
+"""The owners of a prefix come first in its rendezvous order."""
 _WARM_TIMEOUT_SECONDS = 10.0
 
 
 class KvWarmer:
-    """Implements ``WarmPort`` over the engines' own calls.
+    """Implements ``WarmPort`` with the engines' KV calls.
 
     Args:
         control: Sends the calls.
-        get_view: Tells which targets hold which weights.
-        hot: What this daemon's callers ask for most.
+        get_view: Returns the configuration, which says which targets hold which
+            weights.
+        hot: The most used prefixes of this daemon's callers.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
     async def warm(
         self, target: Target, model: ModelId, weights_version: WeightsVersion
     ) -> Result[int, LycheepostError]:
-        """Import the hottest kept prefixes; return how many tokens."""
+        """Import the most used stored prefixes; return the number of tokens."""
         prefixes = self._hot.top(model, weights_version, MAX_WARMED_PREFIXES)
         donors = self._find_donors(target, model, weights_version)
         n_tokens = 0
@@ -61,7 +62,7 @@
                 for prefix in prefixes:
                     n_tokens += await self._import(target, prefix, donors)
         except TimeoutError:
-            # What has been imported is there; the rest is computed when asked for.
+            # Imported prefixes stay; the rest are computed on request.
             pass
         return Success(n_tokens)
 
--- a/lycheepost/operators/change_results.py
+++ b/lycheepost/operators/change_results.py
@@ -1,4 +1,4 @@
-"""What applying one change gives, and the checks that changes share."""
+"""The result of applying one change, and checks shared by changes."""
 
 import dataclasses
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from lycheepost.utils.documents import Fault
 
 HashForCustomer = Callable[[str], str]
-"""Gives the SHA-256 of the caller key that the daemon makes for a customer."""
+"""Returns the SHA-256 of the caller key that the daemon generates for a customer."""
 
 
 @dataclass(frozen=True)
@@ -20,11 +20,11 @@
     """One change made to the draft.
 
     Attributes:
-        action: What was done, as the kind of the change.
-        subject: What it was done to.
-        detail: One line for a person.
-        conflicts: What stands against it.
-        seconds: How long it takes once confirmed; 0 when in force at once.
+        action: The kind of the change.
+        subject: The item that was changed.
+        detail: One line for the operator to read.
+        conflicts: Conflicts with the change.
+        seconds: Estimated duration after the confirm; 0 when in force at once.
     """
 
     action: str
@@ -38,14 +38,14 @@
 
 
 def check_absent(draft: Draft, subject: str, path: str) -> list[Fault]:
-    """Return a fault when ``subject`` exists already."""
+    """Return a fault if ``subject`` already exists."""
     if draft.find(subject) is None:
         return []
     return [Fault(path, subject.partition("/")[2], "exists already")]
 
 
 def check_present(draft: Draft, subject: str, path: str) -> list[Fault]:
-    """Return a fault when ``subject`` does not exist."""
+    """Return a fault if ``subject`` does not exist."""
     if draft.find(subject) is not None:
         return []
     return [Fault(path, subject.partition("/")[2], "does not exist")]
@@ -62,7 +62,7 @@
 
 
 def replace_given(item: Any, change: Any, fields: tuple[str, ...]) -> tuple[Any, str]:
-    """Return ``item`` with the given fields of ``change``, and what changed."""
+    """Return ``item`` with the fields set in ``change``, and a description."""
     given = {
         field: getattr(change, field)
         for field in fields
--- a/lycheepost/operators/changes.py
+++ b/lycheepost/operators/changes.py
@@ -1,7 +1,7 @@
 """Apply the plain changes of an intent to a draft configuration.
 
-A plain change is in force as soon as its revision is. Each function either
-changes the draft and returns the step that it made, or returns every fault.
+A plain change takes effect with its revision. Each function either changes the draft
+and returns the resulting step, or returns all faults.
 """
 
 from lycheepost.generated.intents import (
@@ -64,7 +64,7 @@
 def apply_plain_change(
     draft: Draft, change: PlainChange, hash_for: HashForCustomer
 ) -> ChangeResult:
-    """Apply one plain change to ``draft``, or return why it cannot be."""
+    """Apply one plain change to ``draft``, or return its faults."""
     match change:
         case CreateCustomer():
             return create_customer(draft, change, hash_for)
--- a/lycheepost/operators/client.py
+++ b/lycheepost/operators/client.py
@@ -1,7 +1,7 @@
-"""A client of the operators' API, as the commands use it.
+"""Client of the operators' API, used by the commands.
 
-A confirm is repeated with the same idempotency key when its answer is lost, so
-that the operator learns what happened and sees a new caller key all the same.
+A confirm is retried with the same idempotency key when its response is lost, so that
+the operator learns the outcome and still gets a new caller key.
 """
 
 import asyncio
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True)
 class ApiConnection:
-    """Where the operators' API is and the key that opens it.
+    """The address of the operators' API and the key for it.
 
     Attributes:
-        ca_file: Certificates to trust besides the system's; empty for none.
+        ca_file: Certificates to trust in addition to the system's; empty for none.
     """
 
     url: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class ApiUnreachable(LycheepostError):
-    """No answer came; a confirm may have been applied all the same."""
+    """No valid response was received; a confirm may still have been applied."""
 
 
 ApiAnswer = Result[Any, ApiRefused | ApiUnreachable]
@@ -61,7 +61,7 @@
     document: Any = None,
     headers: dict[str, str] | None = None,
 ) -> ApiAnswer:
-    """Call the API once and return the decoded body, or the refusal."""
+    """Call the API once and return the decoded body, or the error."""
     sent = dict(headers or {})
     if connection.key:
         sent["Authorization"] = f"Bearer {connection.key}"
@@ -101,7 +101,7 @@
 async def confirm(
     connection: ApiConnection, plan_id: str, token: str, allow_unrelated: bool
 ) -> ApiAnswer:
-    """Confirm a plan; repeat the same call while its outcome is open."""
+    """Confirm a plan; retry the same call while its outcome is unknown."""
     path = f"/v1/plans/{plan_id}/confirm"
     if allow_unrelated:
         path += "?allow_unrelated=true"
@@ -129,10 +129,10 @@
 async def ask_revisions(
     daemons: list[dict[str, Any]], ca_file: str = ""
 ) -> dict[str, int]:
-    """Ask each daemon which revision it works by; leave out the silent ones.
+    """Return the revision in force at each daemon; omit unreachable daemons.
 
-    No daemon knows this of all others: telling it around would cost each of 540
-    more than it may spend on control, and an operator asks now and then.
+    Daemons do not exchange this: doing so would cost each of 540 daemons more than its
+    budget for control traffic, while operators ask only occasionally.
     """
     limit = asyncio.Semaphore(_MAX_CONCURRENT_CALLS)
 
--- a/lycheepost/operators/confirming.py
+++ b/lycheepost/operators/confirming.py
@@ -1,10 +1,11 @@
-"""Confirm a plan: apply it once, whatever is repeated, raced or lost.
-
-The revision that applies a plan names the plan, so the change and the record
-that it was made are written together or not at all. A repeated confirm, on any
-daemon, looks there first. The plan's row is marked before the commit, so that a
-confirm that was never tried can be told from one whose record was dropped, and
-again after it, so that the answer outlives the configuration's short memory.
+"""Confirm a plan: apply it exactly once despite retries, races and lost responses.
+
+The revision that applies a plan records the plan's id, so the change and its record are
+written together or not at all. A repeated confirm, on any daemon, checks this record
+first. The plan's row is marked before the commit, which distinguishes a confirm that
+was never attempted from one whose record was dropped from the history. It is marked
+again after the commit, so that the result stays available after the configuration's
+short history has dropped it.
 """
 
 import dataclasses
@@ -55,9 +56,9 @@
 from lycheepost.utils.keys import hash_key
 
 _MAX_ROUNDS = 4
-"""Rounds of one confirm against commits that come in between; each lost round
-means that another revision won, so at 0.74 revisions a second more than a few
-in a row means that something else is wrong."""
+"""Maximum rounds of one confirm when other commits interfere. Each lost round means
+that another revision was committed; at 0.74 revisions a second, losing more than a few
+in a row points to another problem."""
 
 _log = structlog.get_logger(part="operators")
 
@@ -67,9 +68,9 @@
     """One call to confirm.
 
     Attributes:
-        token: The call's idempotency key; repeats of the call carry the same.
-        allow_unrelated: Whether other plans may have been confirmed since, as
-            long as nothing that this one looked at has moved.
+        token: The call's idempotency key; retries carry the same one.
+        allow_unrelated: Whether other plans may have been confirmed since, as long as
+            no item that this plan read or changed has changed.
     """
 
     plan_id: PlanId
@@ -79,14 +80,14 @@
 
     @property
     def token_hash(self) -> str:
-        """Return what is kept of the token."""
+        """Return the hash of the token, which is what is stored."""
         return hashlib.sha256(self.token.encode()).hexdigest()
 
 
 async def confirm_plan(
     deps: OperatorDeps, store: PlanStore, call: ConfirmCall
 ) -> Result[ConfirmAnswer, OperatorError]:
-    """Apply the plan of ``call`` if it has not been, and say what it made."""
+    """Apply the plan of ``call`` unless it was applied before; return the result."""
     for _ in range(_MAX_ROUNDS):
         loaded = await store.load(call.plan_id)
         if not isinstance(loaded, Success):
@@ -107,7 +108,7 @@
 async def _try_confirm(
     deps: OperatorDeps, store: PlanStore, call: ConfirmCall, stored: StoredPlan
 ) -> Result[ConfirmAnswer, OperatorError] | None:
-    """Do one round; None when something came in between and it may go again."""
+    """Run one round; return None if a concurrent change requires another."""
     plan = stored.plan
     record = await _find_applied_record(deps, plan)
     if isinstance(record, OperatorError):
@@ -133,11 +134,11 @@
 async def _find_applied_record(
     deps: OperatorDeps, plan: Plan
 ) -> AppliedPlan | OperatorError | None:
-    """Return the record of an applied plan; None when it is surely not applied.
+    """Return the record of an applied plan; None if it was certainly not applied.
 
-    A plan marked as confirming may have been applied by a daemon that died
-    before it could say so, at a revision that this daemon has not seen. So the
-    head is read before this says no.
+    A plan marked as confirming may have been applied by a daemon that crashed before
+    marking it as applied, at a revision that this daemon has not seen. So the head
+    revision is read before None is returned.
     """
     if plan.state is PlanState.APPLIED:
         return AppliedPlan(
@@ -209,7 +210,7 @@
 ) -> Result[ConfirmAnswer, OperatorError] | None:
     plan = stored.plan
     basis = deps.revisions.view.configuration
-    # The row write took time: what was checked may have moved meanwhile.
+    # The configuration may have changed during the row write.
     refused = _check_basis(plan, basis, call.allow_unrelated)
     if refused is not None:
         return Failure(refused)
@@ -226,8 +227,8 @@
         reason = "The plan no longer fits the configuration; plan again."
         faults = tuple(drafted.failure())
         return Failure(OperatorError(reason, OperatorErrorKind.BASIS_MOVED, faults))
-    # Two plans that touch different targets of one group may each leave enough
-    # of them serving and together too few, so the head is checked again.
+    # Two plans that change different targets of one group may each leave enough of them
+    # serving but together too few, so conflicts are checked again on the head revision.
     blocked = _check_conflicts(drafted.unwrap().conflicts())
     if blocked is not None:
         return Failure(blocked)
@@ -263,9 +264,9 @@
 async def _mark_applied(
     store: PlanStore, stored: StoredPlan, entry: AppliedPlan
 ) -> None:
-    """Note in the plan's row what the revision says; a failure harms nothing.
+    """Mark the plan's row as applied; a failure is only logged.
 
-    The revision itself remembers the plan; the row only remembers it longer.
+    The revision itself records the plan; the row only keeps the record for longer.
     """
     if stored.plan.state is PlanState.APPLIED:
         return
@@ -278,7 +279,9 @@
     )
     outcome = await store.replace(stored, applied)
     if not isinstance(outcome, Success):
-        _log.warning("operators: plan row not marked", plan=stored.plan.plan_id)
+        _log.warning(
+            "operators: plan row not marked as applied", plan=stored.plan.plan_id
+        )
 
 
 def _make_answer(call: ConfirmCall, plan: Plan, entry: AppliedPlan) -> ConfirmAnswer:
--- a/lycheepost/operators/customer_changes.py
+++ b/lycheepost/operators/customer_changes.py
@@ -54,8 +54,8 @@
     customer = Customer(
         customer=change.customer,
         key_hashes=[key_hash],
-        # The name alone would not do: a customer that is removed, and another
-        # created under its name, would share cached blocks on the engines.
+        # The name alone is not enough: a customer created under the name of a removed
+        # one would share its cached blocks on the engines.
         cache_salt=f"{change.customer}:{key_hash[:_SALT_HASH_LENGTH]}",
         share_weight=change.share_weight,
         models=change.models,
@@ -66,8 +66,8 @@
 
 
 def _check_key_unused(draft: Draft, key_hash: str) -> list[Fault]:
-    # Two customers with one key would reach each other's data: a request is
-    # given to whichever customer the look-up finds.
+    # Two customers with the same key would get access to each other's data, since a
+    # request is attributed to whichever customer the look-up returns.
     if key_hash and any(
         key_hash in customer.key_hashes for customer in draft.all("customers")
     ):
@@ -91,7 +91,7 @@
 def rotate_customer_key(
     draft: Draft, change: RotateCustomerKey, hash_for: HashForCustomer
 ) -> ChangeResult:
-    """Give a customer a new key."""
+    """Replace a customer's caller key by a new one."""
     subject = f"customers/{change.customer}"
     faults = check_present(draft, subject, "customer")
     faults += _check_key_unused(draft, change.key_hash)
@@ -107,7 +107,7 @@
 
 
 def set_customer_quota(draft: Draft, change: SetCustomerQuota) -> ChangeResult:
-    """Bound what a customer may ask of all daemons together."""
+    """Limit the rate at which a customer is served by all daemons together."""
     subject = f"customers/{change.customer}"
     faults = check_present(draft, subject, "customer")
     written = CustomerQuota(
@@ -127,7 +127,7 @@
 
 
 def remove_customer_quota(draft: Draft, change: RemoveCustomerQuota) -> ChangeResult:
-    """Let a customer ask for as much as it is served."""
+    """Remove the rate limit of a customer."""
     subject = f"customers/{change.customer}"
     faults = check_present(draft, subject, "customer")
     if faults:
--- a/lycheepost/operators/errors.py
+++ b/lycheepost/operators/errors.py
@@ -27,13 +27,13 @@
 
 @dataclass(frozen=True)
 class OperatorError(LycheepostError):
-    """A refusal of the operators' API.
+    """An error response of the operators' API.
 
     Attributes:
-        kind: What a script branches on.
-        faults: Everything wrong, or everything that moved, at once.
-        is_applied: Whether the change took effect; None when unknown.
-        retry_after_seconds: When the same call may succeed; None for never.
+        kind: Machine-readable kind of the error.
+        faults: All faults of the request, or all changes since the plan's basis.
+        is_applied: Whether the change took effect; None if unknown.
+        retry_after_seconds: Delay before a retry may succeed; None for never.
     """
 
     kind: OperatorErrorKind
--- a/lycheepost/operators/intents.py
+++ b/lycheepost/operators/intents.py
@@ -1,7 +1,7 @@
-"""Read an intent: check each change against its schema and convert it.
+"""Parse an intent: check each change against its schema and convert it.
 
-Every fault of every change is reported at once, with the path inside the
-document that the operator sent.
+All faults of all changes are reported together, each with its path in the submitted
+document.
 """
 
 from dataclasses import dataclass
@@ -36,7 +36,7 @@
 from lycheepost.utils.documents import Fault, convert_document
 
 MAX_CHANGES = 500
-"""Most changes of one intent; a plan of more could not be read by a person."""
+"""Maximum changes of one intent; a person could not review a longer plan."""
 
 Change = (
     AddTarget
@@ -89,13 +89,13 @@
 
 @dataclass(frozen=True)
 class Intent:
-    """What an operator wants: changes that apply together.
+    """Changes requested by an operator, which apply together.
 
     Attributes:
-        changes: The changes, in the order in which they build on each other.
-        documents: The same changes as the operator wrote them.
-        prefixes: Path of each change inside the document, for faults.
-        note: A line for other operators.
+        changes: The changes, in the order in which they are applied.
+        documents: The same changes as submitted.
+        prefixes: Path of each change in the document, for fault messages.
+        note: A comment for other operators.
     """
 
     changes: tuple[Change, ...]
@@ -105,7 +105,7 @@
 
 
 def parse_intent(document: Any) -> Result[Intent, list[Fault]]:
-    """Return ``document`` as an intent, or every fault of it."""
+    """Return ``document`` as an intent, or all of its faults."""
     if not isinstance(document, dict):
         return Failure([Fault("(document)", "", "is not an object")])
     if "changes" not in document:
@@ -149,11 +149,11 @@
 
 
 def parse_change(document: Any) -> Result[Change, list[Fault]]:
-    """Return one change, or every fault of it."""
+    """Return one change, or all of its faults."""
     if not isinstance(document, dict):
         return Failure([Fault("(document)", "", "is not an object")])
     kind = document.get("kind")
-    # A list or an object cannot even be looked up.
+    # A list or an object is not hashable and cannot be looked up.
     if not isinstance(kind, str) or kind not in set(ChangeKind):
         known = ", ".join(ChangeKind)
         return Failure([Fault("kind", str(kind)[:60], f"is not one of {known}")])
@@ -163,7 +163,7 @@
 
 
 def prefix_fault(prefix: str, fault: Fault) -> Fault:
-    """Return ``fault`` with the path of its change before its own."""
+    """Return ``fault`` with the path of its change prepended."""
     if fault.path == "(document)":
         return Fault(prefix.rstrip(".") or fault.path, fault.value, fault.reason)
     return Fault(prefix + fault.path, fault.value, fault.reason)
--- a/lycheepost/operators/items.py
+++ b/lycheepost/operators/items.py
@@ -1,10 +1,10 @@
-"""A draft of the next configuration: named items, looked up and replaced.
+"""A draft of the next configuration, with items looked up and replaced by name.
 
-A subject such as ``customers/acme`` names one item. The draft remembers every
-subject that was looked at or changed, with a digest of how it stood, so that a
-confirm can tell exactly what moved since. It indexes each collection once: a
-plan of hundreds of changes over 12,000 targets must not scan them per change,
-since the daemon relays streams on the same core.
+A subject such as ``customers/acme`` names one item. The draft records every subject
+that was read or changed, with a digest of its previous state, so that a confirm can
+determine what has changed since. Each collection is indexed once: a plan of hundreds of
+changes over 12,000 targets must not scan them for every change, since the daemon relays
+streams on the same core.
 """
 
 import dataclasses
@@ -49,15 +49,15 @@
 
 
 def digest_item(item: Item | None) -> str:
-    """Return the SHA-256 of an item's JSON; empty when it is absent.
+    """Return the SHA-256 of an item's JSON; empty if it is absent.
 
-    Of a capacity intent only what operators decide counts: its progress moves
-    every few seconds, and a plan to pause it must not be refused for that.
+    For a capacity intent only the fields that operators decide are hashed: its progress
+    changes every few seconds, which must not prevent a plan from pausing it.
 
-    A record that came over a wire without its default values equals the one that
-    was made with them, but ``encode_record`` leaves out in the one what it writes
-    in the other. ``asdict`` reads both alike; else each daemon would tell that a
-    plan made on another daemon had moved.
+    A record decoded from a message without its default values equals one constructed
+    with them, but ``encode_record`` omits in one what it writes in the other.
+    ``asdict`` treats both alike. Otherwise each daemon would report that the basis of a
+    plan made on another daemon had changed.
     """
     if item is None:
         return ""
@@ -68,10 +68,10 @@
 
 
 class Draft:
-    """The next configuration while changes are applied to it.
+    """The next configuration, to which changes are applied.
 
     Args:
-        configuration: The revision that the changes build on.
+        configuration: The revision on which the changes are based.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -86,18 +86,18 @@
         self._basis: dict[str, str] = {}
 
     def find(self, subject: str) -> Any:
-        """Return the item of ``subject`` or None, and remember the look."""
+        """Return the item of ``subject`` or None, and add it to the basis."""
         collection, _, name = subject.partition("/")
         item = self._items[collection].get(name)
         self._basis.setdefault(subject, digest_item(item))
         return item
 
     def all(self, collection: str) -> list[Any]:
-        """Return every item of a collection without remembering the look."""
+        """Return every item of a collection without adding it to the basis."""
         return list(self._items[collection].values())
 
     def put(self, item: Item) -> None:
-        """Add ``item``, or replace the one of the same name in its place."""
+        """Add ``item``, or replace the item of the same name in place."""
         subject = subject_of(item)
         self.find(subject)
         collection, _, name = subject.partition("/")
@@ -110,14 +110,14 @@
         self._items[collection].pop(name, None)
 
     def basis(self) -> list[BasisItem]:
-        """Return what was looked at or changed, as it stood before."""
+        """Return the items that were read or changed, with their previous digests."""
         return [
             BasisItem(subject=subject, digest=digest)
             for subject, digest in sorted(self._basis.items())
         ]
 
     def finish(self) -> Configuration:
-        """Return the drafted configuration; the revision is still the basis."""
+        """Return the drafted configuration, still with the basis revision number."""
         collections: dict[str, Any] = {
             name: list(items.values()) for name, items in self._items.items()
         }
--- a/lycheepost/operators/model_changes.py
+++ b/lycheepost/operators/model_changes.py
@@ -66,7 +66,7 @@
 
 
 def set_weights_version(draft: Draft, change: SetWeightsVersion) -> ChangeResult:
-    """Ask for other weights, if enough targets hold them."""
+    """Change the requested weights version, if enough targets hold it."""
     subject = f"models/{change.model}"
     faults = check_present(draft, subject, "model")
     if faults:
@@ -80,10 +80,11 @@
 
 
 def _pin_followers(draft: Draft, model: Model) -> None:
-    """Write down the weights of targets that so far followed their model.
+    """Record the weights of targets that have no version of their own.
 
-    They hold what they held before; following on, they would seem to hold what
-    nobody has loaded there.
+    Such targets follow their model. When its version changes they still hold the
+    previous one, which must be recorded, or they would appear to hold weights that were
+    never loaded there.
     """
     for target in draft.all("targets"):
         follows = not target.weights_version
@@ -95,10 +96,10 @@
 def _check_holders(draft: Draft, model: Model, version: str) -> list[PlanConflict]:
     """Return a blocking conflict when too few targets hold ``version``.
 
-    A target serves a request only with the weights that the request asks for.
-    Were the version set before enough targets hold it, every request would be
-    refused until they do; ``new_weights`` loads first and sets it last. Targets
-    with no version of their own follow the model and hold the version it had.
+    A target serves a request only with the weights that the request asks for. If the
+    version were set before enough targets hold it, every request would be refused until
+    they do; ``new_weights`` loads first and sets the version last. Targets with no
+    version of their own follow the model and hold its previous version.
     """
     serving = [
         target
--- a/lycheepost/operators/planning.py
+++ b/lycheepost/operators/planning.py
@@ -1,7 +1,7 @@
-"""Plan an intent: what it would do, what stands against it, how long it takes.
+"""Plan an intent: its steps, its conflicts and its estimated duration.
 
-Planning changes nothing. The same functions apply a plan when it is confirmed,
-so that a plan cannot say one thing and its confirm do another.
+Planning changes nothing. A confirm applies the plan with the same functions, so that
+its effect cannot differ from the plan.
 """
 
 import dataclasses
@@ -38,15 +38,15 @@
 from lycheepost.utils.documents import Fault
 
 MAX_APPLIED_PLANS = 64
-"""Confirmed plans that a configuration remembers.
+"""Number of confirmed plans in the history of a configuration.
 
-A repeated confirm finds its plan here when the first answer was lost. At 64,000
-changes a day that is the last 86 seconds, several times the time in which a
-client repeats a call; at today's sizes it is days.
+A repeated confirm finds its plan here when the first response was lost. At 64,000
+changes a day the history covers the last 86 seconds, several times the time in which a
+client retries; at current sizes it covers days.
 """
 
 _MAX_SUBJECTS_PER_PLAN = 16
-"""Subjects remembered of each plan, to tell another operator what moved."""
+"""Subjects recorded for each plan, to report changes to other operators."""
 
 _PLACEHOLDER_HASH = "0" * 64
 
@@ -56,29 +56,29 @@
     """An intent applied to a draft.
 
     Attributes:
-        draft: With the changes made; the revision is still the basis.
-        applied: What each change did, in order.
+        draft: The draft with the changes applied; still has the basis revision.
+        applied: The result of each change, in order.
     """
 
     draft: Draft
     applied: tuple[Applied, ...]
 
     def conflicts(self) -> list[PlanConflict]:
-        """Return what stands against the changes, taken together."""
+        """Return the conflicts of all changes together."""
         return [conflict for item in self.applied for conflict in item.conflicts]
 
 
 @dataclass(frozen=True)
 class DraftContext:
-    """What applying an intent needs beside the configuration.
+    """What applying an intent needs in addition to the configuration.
 
-    Plan and confirm build it from the same plan id and the same answers of the
-    weight store, so that a confirm makes what the plan said.
+    Plan and confirm build it from the same plan id and the same weight store reports,
+    so that a confirm does what the plan states.
 
     Attributes:
-        plan_id: Names of new capacity intents are made from it.
-        weights: What the weight store said when the plan was made.
-        hash_for: Gives the hash of a caller key that the daemon makes.
+        plan_id: Prefix source for the names of new capacity intents.
+        weights: What the weight store reported when the plan was made.
+        hash_for: Returns the hash of a caller key that the daemon generates.
     """
 
     plan_id: str
@@ -91,7 +91,7 @@
 def draft_intent(
     configuration: Configuration, intent: Intent, context: DraftContext
 ) -> Result[DraftedIntent, list[Fault]]:
-    """Apply every change of ``intent`` to a draft, or return every fault."""
+    """Apply every change of ``intent`` to a draft, or return all faults."""
     draft = Draft(configuration)
     applied = []
     faults = []
@@ -142,20 +142,20 @@
 
 
 def make_plan_id(wall_seconds: float) -> str:
-    """Return a plan id that sorts by the time it was made and is unguessable."""
+    """Return an unguessable plan id that sorts by creation time."""
     return f"plan-{int(wall_seconds * 1000):012x}-{secrets.token_hex(8)}"
 
 
 def plan_intent(
     view: ConfigurationView, intent: Intent, context: DraftContext, operator: str = ""
 ) -> Result[Plan, list[Fault]]:
-    """Return the plan of ``intent`` on ``view``, or every fault of it.
+    """Return the plan of ``intent`` on ``view``, or all of its faults.
 
     Args:
-        view: The configuration that the plan builds on.
+        view: The configuration on which the plan is based.
         intent: The checked intent.
-        context: Its id, the time, and what the weight store said.
-        operator: Who asks, for other operators to read.
+        context: The plan's id, the time, and what the weight store reported.
+        operator: Name of the requesting operator, shown to other operators.
     """
     drafted = draft_intent(view.configuration, intent, context)
     return drafted.map(
@@ -198,8 +198,8 @@
 
 
 def _make_estimate(drafted: DraftedIntent, wall_seconds: float) -> PlanEstimate:
-    # Changes of different groups run side by side, those of one group by turns:
-    # the longest is the least it takes.
+    # Changes of different groups run in parallel, those of one group in sequence: the
+    # longest change is a lower bound.
     seconds = max((item.seconds for item in drafted.applied), default=0.0)
     return PlanEstimate(
         n_steps=len(drafted.applied),
@@ -211,7 +211,7 @@
 def record_plan(
     configuration: Configuration, plan: Plan, operator: str, confirm_token_hash: str
 ) -> Configuration:
-    """Return ``configuration`` as the next revision, made by ``plan``."""
+    """Return the next revision of ``configuration``, with ``plan`` in its history."""
     revision = configuration.revision + 1
     entry = AppliedPlan(
         plan=plan.plan_id,
--- a/lycheepost/operators/plans.py
+++ b/lycheepost/operators/plans.py
@@ -1,9 +1,9 @@
-"""Plans as rows of the table service.
+"""Storage of plans as rows of the table service.
 
-Any daemon may take the confirm of a plan that another one made, and no VM keeps
-anything, so a plan is a row. Plan ids sort by time: each new plan removes a few
-rows that are long past their expiry, so that no sweep is needed and the table
-holds about a day of plans.
+Any daemon may confirm a plan that another daemon made, and VMs store nothing locally,
+so plans are kept as rows. Plan ids sort by time: each new plan removes a few rows that
+expired long ago, so that no separate sweep is needed and the table holds about a day of
+plans.
 """
 
 from dataclasses import dataclass
@@ -32,12 +32,12 @@
 _KEY_PREFIX = "plans/"
 _MAX_PLAN_ID_LENGTH = 64
 _RETENTION_SECONDS = 86_400
-"""How long after its expiry a plan can still be looked up."""
+"""How long a plan can still be looked up after its expiry."""
 _MAX_REMOVALS_PER_PLAN = 4
-"""More than one per new plan, so that a backlog shrinks."""
+"""Expired plans removed per new plan; more than one, so that a backlog shrinks."""
 _MAX_LISTED_PLANS = 500
 RETRY_SECONDS = 2.0
-"""When to try again after the store did not answer."""
+"""Retry delay after the store did not respond."""
 
 
 @dataclass(frozen=True)
@@ -50,21 +50,21 @@
 
 @dataclass(frozen=True)
 class PlanRowChanged:
-    """Another call changed the plan's row first."""
+    """Another call changed the plan's row concurrently."""
 
 
 class PlanStore:
     """Reads and writes plans.
 
     Args:
-        table: Where the rows are.
+        table: Table that holds the rows.
     """
 
     def __init__(self, table: TablePort) -> None:
         self._table = table
 
     async def create(self, plan: Plan) -> Result[Plan, OperatorError]:
-        """Keep a new plan, and remove some that are long past."""
+        """Store a new plan, and remove some that expired long ago."""
         writes = [Write(_key(plan.plan_id), encode_record(plan))]
         for key in await self._list_stale(plan.created_wall_seconds):
             writes.append(Write(key, None))
@@ -74,7 +74,7 @@
             return Success(plan)
         error = outcome.failure()
         if isinstance(error, OutcomeUnknown):
-            # The id is random and ours: if the row is there, this call wrote it.
+            # The id is random: if the row exists, this call wrote it.
             found = await self.load(PlanId(plan.plan_id))
             if isinstance(found, Success):
                 return Success(plan)
@@ -91,7 +91,7 @@
         ]
 
     async def load(self, plan_id: PlanId) -> Result[StoredPlan, OperatorError]:
-        """Return a plan, or the error of an unknown one or a silent store."""
+        """Return a plan, or an error if it is unknown or the store is unavailable."""
         if len(plan_id) > _MAX_PLAN_ID_LENGTH:
             return Failure(_unknown_plan())
         outcome = await self._table.read((_key(plan_id),))
@@ -105,10 +105,10 @@
     async def list_since(
         self, wall_seconds: float
     ) -> Result[tuple[Plan, ...], OperatorError]:
-        """Return the plans made since then, oldest first, at most 500.
+        """Return up to 500 plans made since ``wall_seconds``, oldest first.
 
-        The scan starts at the time inside the ids: reading a day of plans at the
-        design size would use up half a minute of the table's reads.
+        The scan starts at the time encoded in the ids: reading a day of plans at the
+        design size would use half a minute of the table's read capacity.
         """
         after_key = _key(f"plan-{max(0, int(wall_seconds * 1000)):012x}")
         outcome = await self._table.scan(_KEY_PREFIX, after_key, _MAX_LISTED_PLANS)
@@ -119,7 +119,7 @@
     async def replace(
         self, stored: StoredPlan, plan: Plan
     ) -> Result[StoredPlan, OperatorError | PlanRowChanged]:
-        """Write ``plan`` over ``stored`` unless its row has changed."""
+        """Replace ``stored`` by ``plan`` unless its row has changed."""
         key = _key(plan.plan_id)
         transaction = Transaction(
             (Condition(key, stored.version),), (Write(key, encode_record(plan)),)
--- a/lycheepost/operators/ports.py
+++ b/lycheepost/operators/ports.py
@@ -1,4 +1,4 @@
-"""What the operators' API needs of the other parts, as typed ports."""
+"""Ports through which the operators' API uses other components."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 
 class RevisionPort(Protocol):
-    """The configuration in force and the way to the next one."""
+    """Access to the configuration in force, and commits of the next one."""
 
     @property
     def view(self) -> ConfigurationView:
@@ -30,28 +30,28 @@
     async def commit(
         self, basis: Revision, configuration: Configuration
     ) -> Result[Revision, StateError]:
-        """Make ``configuration`` the revision after ``basis``, or nothing."""
+        """Commit ``configuration`` as the revision after ``basis``."""
         ...
 
     async def refresh(self) -> Result[Revision, StateError]:
-        """Read the head revision now and adopt it."""
+        """Read and adopt the current head revision."""
         ...
 
 
 def empty_quota_report() -> dict[str, object]:
-    """Return the account of a daemon that counts no quotas."""
+    """Return the quota report of a daemon that counts no quotas."""
     return {"share": 1.0, "is_synced": True, "customers": {}}
 
 
 @dataclass(frozen=True)
 class OperatorDeps:
-    """Everything that the operators' API stands on.
+    """Dependencies of the operators' API.
 
     Attributes:
-        weights: Tells which versions exist and how long they load; None where
-            no weight store is configured.
+        weights: Lists versions and their load times; None if no weight store is
+            configured.
         fleet: Describes daemons and targets as this daemon sees them.
-        quotas: Describes what is left of customers' quotas, as this daemon sees it.
+        quotas: Describes the remaining quotas of customers as this daemon sees them.
     """
 
     revisions: RevisionPort
--- a/lycheepost/operators/removal.py
+++ b/lycheepost/operators/removal.py
@@ -75,7 +75,7 @@
     target = draft.find(f"targets/{name}")
     if target.desired_state is TargetDesiredState.SERVING:
         return ["traffic: retire it first"]
-    # A target removed in the midst of a load would free its load slot too soon.
+    # Removing a target during a load would free its load slot too soon.
     return [
         f"capacity_intents/{intent.intent}"
         for intent in draft.all("capacity_intents")
--- a/lycheepost/operators/routes.py
+++ b/lycheepost/operators/routes.py
@@ -1,7 +1,7 @@
 """The operators' HTTP API.
 
-Each handler identifies the operator, reads the body within bounds, calls one
-function and turns its result into JSON. Every refusal has an ``ErrorBody``.
+Each handler authenticates the operator, reads the body up to a limit, calls one
+function and encodes its result as JSON. Every error response has an ``ErrorBody``.
 """
 
 import json
@@ -34,7 +34,7 @@
 from lycheepost.utils.documents import Fault, encode_record
 
 _MAX_BODY_BYTES = 1_048_576
-"""Largest intent: 500 changes with room to spare."""
+"""Maximum size of an intent; 500 changes fit with a wide margin."""
 _MAX_TOKEN_LENGTH = 200
 
 Answer = Result[Any, OperatorError]
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class IntentList:
-    """Answer of GET /v1/intents."""
+    """Response of GET /v1/intents."""
 
     revision: int
     plans: tuple[Plan, ...]
@@ -65,7 +65,7 @@
 
 
 class OperatorApi:
-    """The handlers, over one set of dependencies."""
+    """The handlers, with a shared set of dependencies."""
 
     def __init__(self, deps: OperatorDeps) -> None:
         self._deps = deps
@@ -74,7 +74,7 @@
     def guard(
         self, handler: Handler
     ) -> Callable[[web.Request], Awaitable[web.Response]]:
-        """Return a handler that lets only operators through."""
+        """Return a handler that calls ``handler`` for authenticated operators only."""
 
         async def handle(request: web.Request) -> web.Response:
             authorization = request.headers.get("Authorization")
@@ -88,7 +88,7 @@
         return handle
 
     async def plan(self, request: web.Request, operator: Operator) -> Answer:
-        """Answer an intent with its plan."""
+        """Respond to an intent with its plan."""
         match await _read_document(request):
             case Success(document):
                 return await self._plan_document(document, operator)
@@ -100,8 +100,8 @@
         parsed = parse_intent(document)
         if not isinstance(parsed, Success):
             return Failure(_invalid_intent(parsed.failure()))
-        # What this operator confirmed a moment ago at another daemon may not be
-        # in force here yet. If the store is down, keeping the plan says so.
+        # A plan that this operator confirmed recently at another daemon may not be in
+        # force here yet. If the store is unavailable, storing the plan reports it.
         await self._deps.revisions.refresh()
         view = self._deps.revisions.view
         intent = parsed.unwrap()
@@ -119,7 +119,7 @@
         return await self._store.create(planned.unwrap())
 
     async def list_intents(self, request: web.Request, operator: Operator) -> Answer:
-        """Answer with the recent plans and the capacity intents."""
+        """Respond with the recent plans and the capacity intents."""
         now_seconds = self._deps.clock.wall_seconds()
         since_seconds = now_seconds - self._deps.settings.plan_seconds
         listed = await self._store.list_since(since_seconds)
@@ -131,12 +131,12 @@
         )
 
     async def show_plan(self, request: web.Request, operator: Operator) -> Answer:
-        """Answer with one plan."""
+        """Respond with one plan."""
         loaded = await self._store.load(PlanId(request.match_info["plan_id"]))
         return loaded.map(lambda stored: stored.plan)
 
     async def confirm(self, request: web.Request, operator: Operator) -> Answer:
-        """Apply a plan once."""
+        """Apply a plan exactly once."""
         token = request.headers.get("Idempotency-Key") or secrets.token_urlsafe(32)
         if len(token) > _MAX_TOKEN_LENGTH:
             fault = Fault("Idempotency-Key", "", f"is over {_MAX_TOKEN_LENGTH} long")
@@ -153,11 +153,11 @@
     async def show_configuration(
         self, request: web.Request, operator: Operator
     ) -> Answer:
-        """Answer with the configuration in force on this daemon."""
+        """Respond with the configuration in force on this daemon."""
         return Success(self._deps.revisions.view.configuration)
 
     async def show_fleet(self, request: web.Request, operator: Operator) -> Answer:
-        """Answer with daemons and targets as this daemon sees them."""
+        """Respond with daemons and targets as this daemon sees them."""
         if self._deps.fleet is None:
             reason = "This daemon does not know its fleet yet."
             kind = OperatorErrorKind.STORE_UNAVAILABLE
@@ -165,12 +165,12 @@
         return Success(self._deps.fleet())
 
     async def show_quotas(self, request: web.Request, operator: Operator) -> Answer:
-        """Answer with what is left of each customer's quota, as seen here."""
+        """Respond with the remaining quota of each customer as seen by this daemon."""
         return Success(self._deps.quotas())
 
 
 async def _read_document(request: web.Request) -> Result[Any, OperatorError]:
-    # A length is only a promise of the client's, so the bytes are counted.
+    # The stated length cannot be trusted, so the received bytes are counted.
     body = bytearray()
     async for chunk in request.content.iter_any():
         body += chunk
@@ -206,7 +206,7 @@
 
 
 def _json_response(status: int, body: Any, headers: dict[str, str]) -> web.Response:
-    # Answers may hold a caller key: no cache on the way may keep them.
+    # Responses may contain a caller key and must not be cached.
     headers = {**headers, "Cache-Control": "no-store"}
     return web.Response(
         status=status,
--- a/lycheepost/operators/target_changes.py
+++ b/lycheepost/operators/target_changes.py
@@ -88,8 +88,8 @@
 
 
 def _check_url_unused(draft: Draft, url: str | None) -> list[Fault]:
-    # One process under two names would be given twice its concurrency, and a
-    # request that killed it would count as the loss of two targets.
+    # One process under two names would be given twice its concurrency, and a request
+    # that crashes it would count as the loss of two targets.
     if url and any(target.url == url for target in draft.all("targets")):
         return [Fault("url", url, "is the address of another target")]
     return []
@@ -109,7 +109,7 @@
 
 
 def retire_target(draft: Draft, change: RetireTarget) -> ChangeResult:
-    """Give a target no new work."""
+    """Stop sending new work to a target."""
     subject = f"targets/{change.target}"
     faults = check_present(draft, subject, "target")
     if faults:
@@ -124,7 +124,7 @@
 def check_enough_serving(
     draft: Draft, group_name: str, leaving: set[str]
 ) -> list[PlanConflict]:
-    """Return a blocking conflict when too few targets would be left serving.
+    """Return a blocking conflict if too few targets would remain serving.
 
     Args:
         draft: The configuration before they leave.
--- a/lycheepost/operators/weightsfacts.py
+++ b/lycheepost/operators/weightsfacts.py
@@ -1,4 +1,4 @@
-"""Ask the weight store what a plan needs to know of weights versions."""
+"""Read the facts about weights versions that a plan needs."""
 
 import asyncio
 from collections.abc import Iterable
@@ -16,10 +16,10 @@
 async def ask_weights(
     port: WeightsPort | None, keys: Iterable[WeightsKey]
 ) -> tuple[WeightsFact, ...]:
-    """Return what the weight store says of each version.
+    """Return what the weight store reports about each version.
 
-    A store that does not answer is a fact as well: the plan then says that its
-    times are not known, and the operator decides.
+    If the store does not respond, this is recorded as well: the plan then states that
+    its durations are unknown, and the operator decides.
     """
     facts = [_ask(port, model, version) for model, version in sorted(keys)]
     return tuple(await asyncio.gather(*facts))
--- a/lycheepost/operators/weightsrollout.py
+++ b/lycheepost/operators/weightsrollout.py
@@ -1,9 +1,9 @@
-"""Bring the weights that operators named to all targets; one daemon at a time.
+"""Roll out the weights that operators named to all targets, from one daemon.
 
-The duty's lease says who may order. Each target is first kept out of new work in
-the whole fleet, then ordered, then asked until the weights are in place. An order
-names the count of orders that its target must have accepted before it, so one that
-arrives late changes nothing.
+Only the holder of the duty's lease may send orders. For each target, the whole fleet
+first stops sending it new work; then it is ordered to load, and polled until the
+weights are in place. An order names the number of orders that its target must have
+accepted before it, so an order that arrives late has no effect.
 """
 
 import asyncio
@@ -45,36 +45,37 @@
 from lycheepost.utils.tasks import start_task
 
 TICK_SECONDS = 0.1
-"""Between two looks at what is to be done, which cost nothing but a comparison."""
+"""Interval between checks for due changes; a check without any costs one comparison."""
 
 DRAIN_POLL_SECONDS = 0.03
-"""Between looks at what a target that is left alone still runs: as often as daemons
-tell each other their load."""
+"""Interval between checks of what a target that gets no new work still runs: as often
+as daemons exchange their load."""
 
 LOAD_POLL_SECONDS = 0.06
-"""Between questions whether the weights are in place: so long a target stands still in
-vain at most, and others wait for their turn."""
+"""Interval between polls for the new weights. A loaded target stays unused for at most
+this long while other targets wait for their turn."""
 
 FIRST_POLL_SHARE = 0.85
-"""Part of the time that changes have taken of late after which the first question is
-put; earlier ones are answered with no, and each is a call that the target pays for."""
+"""Share of the recent mean load time after which the first poll is sent. Earlier polls
+would find the load unfinished, and each costs the target a call."""
 
 LOAD_TIME_GAIN = 0.3
-"""Weight of one change in that time; it differs with how many change at once."""
+"""Weight of one change in the mean load time, which varies with the number of
+concurrent changes."""
 
 LOAD_TIMEOUT_SECONDS = 5.0
-"""A target that has not loaded by then is looked at anew."""
+"""After this time an unfinished load is given up and the target is considered again."""
 
 ORDER_VISIBLE_SECONDS = 0.6
-"""By then a report shows an order that was taken."""
+"""An accepted order shows in the target's reports within this time."""
 
 RESTART_POLL_DELAYS_SECONDS = (1.0, 2.0, 3.0, 6.0)
-"""Pauses between looks at a target that has started again. An order to its earlier
-start may be carried out up to twelve seconds late and put older weights in; where no
-request goes to it, nobody else would notice."""
+"""Delays between polls of a restarted target. An order to its previous start may be
+executed up to twelve seconds late and load older weights; if no request goes to the
+target, nothing else would reveal this."""
 
 RETRY_DELAY_SECONDS = 0.4
-"""Before a target that did not take an order is asked again."""
+"""Delay before a target that did not accept an order is ordered again."""
 
 _log = structlog.get_logger(part="weights")
 
@@ -82,17 +83,17 @@
 
 
 class WeightsRollout:
-    """Carries out the duty while its lease is held.
+    """Executes the weights rollout while the duty's lease is held.
 
     Args:
-        port: Reports of targets and orders to them.
+        port: Reads reports of targets and sends orders to them.
         targets: The targets and what is known of their weights.
         clock: The clock of the leases.
         daemon: Named in orders as their holder.
         groups_of: Returns the target groups that serve a model.
-        notify_peers: Tells the peers of changes.
-        count_running: Returns how many requests of all known daemons run at a target.
-        max_drain_seconds: How long a target's runs may take to end before its order.
+        notify_peers: Sends a message about changes to the peers.
+        count_running: Returns the number of requests of all known daemons at a target.
+        max_drain_seconds: How long running requests may delay a target's order.
     """
 
     def __init__(
@@ -125,15 +126,15 @@
         self._wake = asyncio.Event()
 
     async def start(self) -> None:
-        """Begin to look at what is to be done."""
+        """Start checking for due changes."""
         self._task = start_task(self._run(), "weights")
 
     async def drain(self) -> None:
-        """Begin no further change, and let those under way end."""
+        """Begin no further changes. Orders that were already accepted complete."""
         await self.stop()
 
     async def stop(self) -> None:
-        """Stop; orders that were accepted are carried out all the same."""
+        """Stop; orders that were already accepted are still executed by the targets."""
         tasks = [*self._changes.values(), *self._restart_checks]
         tasks += [] if self._task is None else [self._task]
         for task in tasks:
@@ -141,7 +142,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def status(self) -> dict[str, object]:
-        """Return what is wanted and under way, for the status page."""
+        """Return wanted versions and changes in progress, for the status page."""
         return {
             "wanted": dict(self._wanted),
             "changing": sorted(self._changes),
@@ -149,29 +150,29 @@
         }
 
     def want(self, model: ModelId, version: int) -> None:
-        """Take the newest version that an operator named; older ones are ignored."""
+        """Set the version that an operator named; older versions are ignored."""
         if version > self._wanted.get(model, 0):
-            _log.info("weights: named", model=model, version=version)
+            _log.info("weights: version named", model=model, version=version)
             self._wanted[model] = version
             self._wake.set()
 
     async def work(self, current: CurrentLease) -> None:
-        """Take the lease that the duty holds now; called again and again."""
+        """Use the lease that the duty currently holds; called repeatedly."""
         self._current = current
         self._wake.set()
 
     def last_order_seconds(self) -> float:
-        """Return when an order was last sent; minus infinity before the first."""
+        """Return the time of the last order; minus infinity before the first."""
         return self._last_order_seconds
 
     def _may_order(self) -> bool:
-        """Return whether the lease allows an order now; asked at each send."""
+        """Return whether the lease allows an order now; checked at each send."""
         if self._current is None:
             return False
         try:
             return self._current().is_held(self._clock.now_seconds())
         except RuntimeError:
-            # The duty has lost its lease since it last called.
+            # The duty has lost its lease since the last call of ``work``.
             return False
 
     async def _run(self) -> None:
@@ -187,7 +188,7 @@
                 continue
 
     def _begin_changes(self, model: ModelId, wanted: int) -> None:
-        """Begin the changes of one model that may begin now."""
+        """Start the changes of one model that are due."""
         by_name = {target.target: target for target in self._targets_of(model)}
         for target in by_name.values():
             self._note_start(target, model)
@@ -197,7 +198,7 @@
             change.add_done_callback(partial(self._end_change, order.target))
 
     def _note_start(self, target: ListedTarget, model: ModelId) -> None:
-        """Look after a target that has started again since it was last seen."""
+        """Start polling a target that has restarted since it was last seen."""
         if target.started_ms is None:
             return
         before_ms = self._started_ms.get(target.target)
@@ -209,7 +210,7 @@
         check.add_done_callback(self._restart_checks.discard)
 
     async def _check_restarted(self, target: ListedTarget, model: ModelId) -> None:
-        """Ask a target for its weights, several times while a late order may come."""
+        """Poll a target's weights repeatedly while a late order may still arrive."""
         for pause_seconds in RESTART_POLL_DELAYS_SECONDS:
             await asyncio.sleep(pause_seconds)
             if not self._may_order() or self._targets.get(target.target) is None:
@@ -225,9 +226,9 @@
                     )
 
     def _targets_of(self, model: ModelId) -> list[ListedTarget]:
-        """Return the targets of a model that get requests or will.
+        """Return the targets of a model that get requests or will get them.
 
-        A target that leaves gets none, so that a load would serve nobody.
+        Leaving targets get none, so loading weights there would be useless.
         """
         return [
             target
@@ -237,7 +238,7 @@
         ]
 
     def _all_weights(self, model: ModelId) -> list[TargetWeights]:
-        """Return what is known of the weights of a model's targets."""
+        """Return the known weights of a model's targets."""
         return [self._weights(target, model) for target in self._targets_of(model)]
 
     def _end_change(self, target: TargetId, change: asyncio.Task[None]) -> None:
@@ -257,7 +258,7 @@
         )
 
     async def _change(self, target: ListedTarget, order: WeightsOrder) -> None:
-        """Change the weights of one target, or leave it as it is."""
+        """Change the weights of one target; on failure it keeps its weights."""
         self._announce(target.start, order, is_done=False)
         await self._wait_drained(order)
         is_done = await self._order(target, order)
@@ -268,7 +269,7 @@
             await asyncio.sleep(RETRY_DELAY_SECONDS)
 
     async def _wait_drained(self, order: WeightsOrder) -> None:
-        """Wait until a target that gets no new work may be ordered."""
+        """Wait until a target is drained enough for its order."""
         began_seconds = self._clock.now_seconds()
         drained_seconds = 0.0
         while not is_due(
@@ -281,7 +282,7 @@
             drained_seconds = self._clock.now_seconds() - began_seconds
 
     def _announce(self, start: TargetStart, order: WeightsOrder, is_done: bool) -> None:
-        """Keep new work off a target, or let it come, here and at the peers."""
+        """Stop or resume new work for a target, at this daemon and its peers."""
         version = (
             self._targets.weights_of(order.target, order.model) if is_done else None
         )
@@ -289,7 +290,7 @@
         self._updates.publish(WeightsChange(start, order.model, version, for_seconds))
 
     async def _order(self, target: ListedTarget, order: WeightsOrder) -> bool:
-        """Send the order; return whether to wait for the weights."""
+        """Send the order; return whether to wait for the weights to load."""
         match await self._port.read_report(target):
             case Success(report):
                 self._note_report(order, report)
@@ -303,7 +304,7 @@
         if report.is_changing or self._is_loaded(order):
             return True
         if not self._may_order() or self._current is None:
-            _log.info("weights: lease gone before the order", target=order.target)
+            _log.info("weights: lease lost before the order", target=order.target)
             return False
         lease = self._current()
         self._last_order_seconds = self._clock.now_seconds()
@@ -319,7 +320,7 @@
             ),
         )
         _log.info(
-            "weights: ordered",
+            "weights: order sent",
             target=order.target,
             version=order.version,
             fencing_number=lease.fencing_number,
@@ -331,24 +332,25 @@
             case Success(outcome):
                 return outcome in (OrderAnswer.ACCEPTED, OrderAnswer.ALREADY)
             case Failure(_):
-                # It may have been taken; the reports will tell.
+                # The order may have been accepted; the target's reports show whether it
+                # was.
                 return True
         raise AssertionError("a result is a success or a failure")
 
     def _has_restarted(self, target: ListedTarget, report: TargetReport) -> bool:
-        """Tell whether a target has started again since its change was begun.
+        """Return whether a target has restarted since its change began.
 
-        Its count of orders has begun anew and it holds the weights that it had: the
-        change under way is over, and the next look at what is due begins another.
+        A restart resets its count of orders and restores its previous weights: the
+        current change ends, and the next check begins another if one is due.
         """
         start = TargetStart(target.target, report.started_ms)
         if not start.is_newer_than(target.start):
             return False
         if target.started_ms is None:
-            # It registered before it stated its start.
+            # The target registered before it reported its start time.
             return False
         _log.info(
-            "weights: target started again",
+            "weights: target restarted",
             target=target.target,
             started_ms=report.started_ms,
         )
@@ -365,12 +367,12 @@
         return weights_number(known) >= weights_number(order.version)
 
     def _note_load_time(self, elapsed_seconds: float) -> None:
-        """Learn how long a change takes until a report shows it."""
+        """Update the mean time from an order until a report shows the weights."""
         gain = LOAD_TIME_GAIN if self._mean_load_seconds else 1.0
         self._mean_load_seconds += gain * (elapsed_seconds - self._mean_load_seconds)
 
     async def _wait_loaded(self, target: ListedTarget, order: WeightsOrder) -> bool:
-        """Ask until the weights are in place; False when that takes too long."""
+        """Poll until the weights are in place; return False on a time-out."""
         ordered_seconds = self._clock.now_seconds()
         elapsed_seconds = 0.0
         pause_seconds = max(
--- a/lycheepost/operators/weightsupdates.py
+++ b/lycheepost/operators/weightsupdates.py
@@ -1,8 +1,9 @@
-"""Tell all daemons what is done to the weights of targets.
+"""Notify all daemons of weights changes at targets.
 
-The load: a third of a large fleet's engines begins to change in one moment. Word of
-each by itself goes over every link of every daemon, and each daemon makes its list of
-targets anew for each. So what changes within a moment is told together.
+In a large fleet a third of the engines begin to change almost simultaneously. A message
+for each change would go over every link of every daemon, and each daemon would rebuild
+its list of targets for each message. So changes that occur within a short interval are
+sent in one message.
 """
 
 import asyncio
@@ -14,16 +15,16 @@
 from lycheepost.state.targetlist import TargetList, WeightsChange
 
 BATCH_SECONDS = 0.02
-"""How long a change waits for others: a sixth of the time for which targets are left
-alone before their orders."""
+"""How long a change waits to be batched with others: a sixth of the time for which
+targets get no new work before their orders."""
 
 
 class WeightsUpdates:
-    """Collects changes and tells them, here at once and to the peers together.
+    """Applies changes locally at once and sends them to the peers in batches.
 
     Args:
         targets: The targets of this daemon.
-        notify_peers: Tells the peers.
+        notify_peers: Sends a message to the peers.
     """
 
     def __init__(
@@ -34,7 +35,7 @@
         self._pending: list[WeightsChange] = []
 
     def publish(self, change: WeightsChange) -> None:
-        """Tell a change."""
+        """Publish a change."""
         self._targets.note_changes((change,))
         if not self._pending:
             asyncio.get_running_loop().call_later(BATCH_SECONDS, self._flush)
@@ -48,7 +49,7 @@
 
 
 def to_message(change: WeightsChange) -> TargetChanging:
-    """Return a change as it is told."""
+    """Return the message of a change."""
     return TargetChanging(
         target=change.start.target,
         started_ms=change.start.started_ms,
@@ -60,7 +61,7 @@
 
 
 def to_changes(message: TargetsChanging) -> Iterable[WeightsChange]:
-    """Return what a peer told."""
+    """Return the changes of a peer's message."""
     for item in message.changes:
         is_known = item.is_done and bool(item.weights_version)
         yield WeightsChange(
