--- a/features/capacity/environment.py
+++ b/features/capacity/environment.py
@@ -1,4 +1,4 @@
-"""One loop in virtual time per scenario; its tasks end with it."""
+"""One virtual-time loop per scenario; its tasks are cancelled afterwards."""
 
 import asyncio
 
--- a/features/capacity/steps/capacity_steps.py
+++ b/features/capacity/steps/capacity_steps.py
@@ -1,4 +1,4 @@
-"""Steps of carrying out capacity intents."""
+"""Steps for the execution of capacity intents."""
 
 import asyncio
 import dataclasses
@@ -54,18 +54,20 @@
         await world.observer.refresh()
         return await world.operate(change)
 
-    # A capacity step may be recorded in between, as in the product.
+    # A capacity step may be committed concurrently, so the confirm is retried.
     assert any(run(context, confirm()) for _ in range(5)), change
 
 
-@given("{n:d} serving and {m:d} standby targets, {k:d} loads, floor {f:d}")
+@given(
+    "{n:d} serving and {m:d} standby targets, {k:d} concurrent loads, min_serving {f:d}"
+)
 def given_fleet(context, n, m, k, f):
     given_fleet_fencing(context, n, m, k, f, "check")
 
 
 @given(
-    "{n:d} serving and {m:d} standby targets, {k:d} loads, floor {f:d},"
-    " which {fencing} fencing"
+    "{n:d} serving and {m:d} standby targets, {k:d} concurrent loads,"
+    " min_serving {f:d}, which {fencing} fencing"
 )
 def given_fleet_fencing(context, n, m, k, f, fencing):
     async def make():
@@ -112,7 +114,7 @@
     assert context.world.holder_index() != context.old_holder
 
 
-@when("its first load hangs and its target falls silent for 120 s")
+@when("its first load hangs and its target is unreachable for 120 s")
 def when_hangs_silent(context):
     world = context.world
     for target in world.targets.values():
@@ -138,7 +140,7 @@
 
 
 def is_lost(context, target):
-    """Return whether an order to the first target is lost: until the late one."""
+    """Return whether an order to the first target is lost before the late one."""
     return context.answers == [None] and target.target == context.first_target
 
 
@@ -191,7 +193,7 @@
             target.crash()
 
         run(context, crash())
-    elif fault.startswith("the target falls"):
+    elif fault.startswith("the target is unreachable"):
         target.silent_until_seconds = now_seconds + 12
     elif fault == "the table is down for an hour":
         world.table.faults.is_down = True
@@ -209,20 +211,20 @@
         run(context, crash_other())
 
 
-@when("every load hangs and the targets {answer}")
-def when_hang(context, answer):
+@when("every load hangs and the targets {behaviour}")
+def when_hang(context, behaviour):
     world = context.world
     for target in world.targets.values():
         target.is_load_stuck = True
     wait_for_step(context, "loading")
     run(context, world.wait_until(lambda: world.tally.n_loads == 2))
-    if answer == "fall silent":
+    if behaviour == "stop responding":
         for target in world.targets.values():
             if target.state is EngineHealthState.LOADING:
                 target.silent_until_seconds = context.loop.now_seconds() + 200
 
 
-@then("{n:d} targets serve and nothing more is loading than {k:d}")
+@then("{n:d} targets serve and {k:d} are loading")
 def then_left(context, n, k):
     world = context.world
     run(context, world.wait(60))
@@ -232,7 +234,7 @@
     assert world.tally.n_loads == k
 
 
-@when("the loads go on and the operator resumes")
+@when("the loads continue and the operator resumes")
 def when_resume_loads(context):
     for target in context.world.targets.values():
         target.is_load_stuck = False
@@ -371,7 +373,7 @@
     run(context, world.wait_until(lambda: world.intent(name).state is wanted))
 
 
-@then('every target holds "{version}" and the model asks for it alone')
+@then('every target holds "{version}" and requests use only that version')
 def then_all_hold(context, version):
     world = context.world
     model = world.configuration.models[0]
@@ -381,13 +383,13 @@
     assert {t.weights_version for t in world.configuration.targets} == {version}
 
 
-@then("no promise was broken and callers always had a target")
+@then("no invariant was violated and callers always had a target")
 def then_no_violations(context):
     assert context.world.tally.violations == [], context.world.tally.violations
     assert context.world.unserved == [], context.world.unserved
 
 
-@then("{n:d} loaded at most at once, each target once")
+@then("at peak {n:d} targets loaded at once, each target once")
 def then_loads(context, n):
     tally = context.world.tally
     assert tally.n_most_loads == n, tally
@@ -400,14 +402,14 @@
     context.runs = list(run_capacity_checks(range(n)))
 
 
-@then("none broke a promise")
+@then("none violated an invariant")
 def then_none(context):
     broken = [(run.seed, run.violations) for run in context.runs if run.violations]
     assert broken == [], broken
     assert sum(run.n_loads for run in context.runs) > 0
 
 
-@when("e1 crashes as the next holder's order to stay arrives")
+@when("e1 crashes as the next holder's order to keep its state arrives")
 def when_stay_late(context):
     world = context.world
     context.begun = []
--- a/features/capacity/steps/scripted.py
+++ b/features/capacity/steps/scripted.py
@@ -1,4 +1,4 @@
-"""A fleet whose faults a scenario sets one by one."""
+"""A simulated fleet in which a scenario injects individual faults."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class NoFaults:
-    """Chance without faults: no delay, no lost answer, no pause."""
+    """Random source that injects no faults, except the requested lost answers."""
 
     lost_answers = 0
 
@@ -38,7 +38,7 @@
 
 
 class ScriptedWorld(CapacityWorld):
-    """The world of the random runs, with the dice put away."""
+    """The simulated fleet of the random runs, without random faults."""
 
     def __init__(self, serving, standby, loads, floor, checks):
         super().__init__(seed=0 if checks else 1)
@@ -95,7 +95,7 @@
         self.tasks = [asyncio.create_task(self._run_daemon(n)) for n in range(3)]
 
     def _judge_served(self, view):
-        """Note each revision that leaves callers without a target."""
+        """Record each revision that leaves callers without a target."""
         model = view.configuration.models[0]
         if not any(
             target.desired_state is TargetDesiredState.SERVING
@@ -134,7 +134,7 @@
         ]
 
     def holder_index(self):
-        """Return the daemon that holds the duty, by its row."""
+        """Return the index of the daemon that holds the lease, from its row."""
         row = self.table.rows["lease/capacity"]
         return int(row.value.decode().split('"holder":"d')[1][0])
 
--- a/features/capacity/steps/version_steps.py
+++ b/features/capacity/steps/version_steps.py
@@ -1,4 +1,4 @@
-"""Steps of choosing a weights version."""
+"""Steps for the choice of a weights version."""
 
 from behave import given, then
 
--- a/features/capacity/steps/whole_steps.py
+++ b/features/capacity/steps/whole_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a rollout over real sockets."""
+"""Steps for a rollout over real sockets."""
 
 import asyncio
 import unittest.mock
@@ -101,7 +101,7 @@
             await asyncio.sleep(0.2)
 
 
-@given("a whole deployment of 3 daemons and 4 engines over HTTP")
+@given("a complete deployment of 3 daemons and 4 engines over HTTP")
 def given_whole(context):
     context.statuses = []
 
@@ -120,7 +120,7 @@
         asyncio.run(roll_out(context))
 
 
-@then("the engines that came up later were given kept blocks before their share rose")
+@then("the reloaded engines were given stored blocks before their share rose")
 def then_imported(context):
     assert context.imports and set(context.imports) == {(200, "w2")}, context.imports
 
--- a/features/capacity/versions.feature
+++ b/features/capacity/versions.feature
@@ -1,9 +1,9 @@
 Feature: A request keeps to one weights version while a model changes
 
   Scenario Outline: Requests are split as the targets are
-    Callers of a model in change are served by targets of both versions. A split
-    that did not follow the targets would queue callers before the few that hold
-    the version which everybody asks for.
+    While a model changes, its requests are served by targets of both versions. A
+    split that differed from the targets' would queue requests at the few targets of
+    the version that most requests ask for.
 
     Given targets <targets> of a model that changes from "w1" to "w2"
     Then about <percent> percent of 2000 prefixes ask for "w2"
--- a/features/operators/commands.feature
+++ b/features/operators/commands.feature
@@ -41,8 +41,8 @@
     And the configuration has no customer "beta"
 
   Scenario: The daemon goes away in the midst of a confirm
-    Ada confirms and the connection breaks: no answer, three times. She must not
-    guess; the command tells her how to learn what happened.
+    The connection breaks at each of three attempts to confirm. The command must
+    print how to find out whether the plan was applied.
 
     Given a plan that creates "beta"
     When the daemon applies the confirm and breaks the connection every time
--- a/features/operators/environment.py
+++ b/features/operators/environment.py
@@ -1,4 +1,4 @@
-"""One event loop per scenario; everything in it is closed afterwards."""
+"""One event loop per scenario; its resources are closed afterwards."""
 
 import asyncio
 
--- a/features/operators/plans.feature
+++ b/features/operators/plans.feature
@@ -9,12 +9,12 @@
     When ada confirms at daemon 2
     Then the answer is 200
     And the key shown works for "beta" at every daemon
-    And the key shown stands in no row of the table
+    And the key shown is stored in no row of the table
 
   Scenario Outline: Two operators race
-    Ada and Ben each plan from what they see, and both confirm.
-    Whoever is second decided on a configuration that is no longer in force.
-    A confirm that applied anyway would undo the first or build on it unseen.
+    Two operators plan on the same configuration and both confirm. The second plan
+    is based on a configuration that is no longer in force. Applying it would undo
+    the first change, or build on a change that its operator has not seen.
 
     When ada plans '<first>' at daemon 1
     And ben plans '<second>' at daemon 2
@@ -34,10 +34,10 @@
       | {"kind": "retire_target", "target": "e1"}                    | {"kind": "retire_target", "target": "e2"}                       | allowing unrelated | 409    | target_groups/engines |
 
   Scenario Outline: A confirm goes wrong and is repeated
-    Ada confirms a plan that creates a customer and sees an error or nothing.
-    Behind it the table lost an answer or refused a write, early or late.
-    She repeats the call elsewhere; a second customer, a second key or a lost
-    key would each leave a caller locked out or a key nobody knows of.
+    A confirm that creates a customer fails, since the table lost a response or
+    refused a write, early or late. The operator repeats it at another daemon. A
+    second customer, a second key or a lost key would lock a caller out or leave a
+    key in force that no one has.
 
     When ada plans '{"kind": "create_customer", "customer": "beta"}' at daemon 1
     And the next write to "<prefix>" is <fault>
@@ -56,12 +56,12 @@
       | plans/              | refused | 503    |
 
   Scenario: A daemon dies between the commit and the mark of the plan
-    Ada's confirm is applied, but its daemon is gone before it can answer or
-    note so in the plan's row. Her repeat finds a plan marked as begun, and a
-    basis that moved by the plan's own change: 409 would be a lie.
+    The plan is applied, but its daemon dies before it responds or marks the plan's
+    row. The repeated confirm finds a plan marked as confirming, with a basis that
+    the plan itself has changed: a response of 409 would be wrong.
 
     When ada plans '{"kind": "create_customer", "customer": "beta"}' at daemon 1
-    And the write after the commit is lost with its daemon
+    And the daemon dies at the write after the commit
     When ada repeats the confirm at daemon 2
     Then the answer is 200
     And one revision was made
@@ -87,12 +87,12 @@
       | {"kind": "rotate_customer_key", "customer": "acme"}   | ben      | t     | 0 | 1        |
 
   Scenario: Another customer under a name that was used before
-    A customer leaves and another organisation is created under its name. Were
-    its blocks on the engines told apart by the name alone, the newcomer would be
-    answered from the old one's prompts.
+    A customer is removed and another organisation is created under its name. If
+    cached blocks on the engines were keyed by the name alone, the new customer would
+    be served from blocks of the old one's prompts.
 
     When acme is disabled, removed and created again
-    Then its cached blocks are not those of the first
+    Then its cache salt differs from that of the first
 
   Scenario: A plan that waited too long
     When ada plans '{"kind": "create_customer", "customer": "beta"}' at daemon 1
@@ -104,7 +104,7 @@
   Scenario Outline: The store is down
     When the store is down while ada <does>
     Then the answer is 503
-    And the answer says when to come back
+    And the answer says when to retry
     And the configuration has no customer "beta"
 
     Examples:
@@ -148,7 +148,7 @@
     Examples:
       | key                 | status |
       | no key              | 401    |
-      | a key nobody has    | 401    |
+      | an unknown key      | 401    |
       | the caller key      | 403    |
       | an operator key     | 200    |
 
@@ -170,9 +170,9 @@
       | up    | {"changes": [{"kind": "hold_ready", "target_group": "engines", "n_targets": 3}, {"kind": "retire", "target_group": "engines", "targets": ["e1"]}]} | 5 | blocked capacity_intents/ |
 
   Scenario: Two operators start rollouts of the same model
-    Each sees no rollout under way and plans one to another version. If both
-    were taken, targets would load back and forth; whoever confirms second must
-    be told of the first, even when asking to go on past unrelated changes.
+    Both plan a rollout to a different version before either has begun. If both were
+    applied, targets would load back and forth; the second confirm must be refused
+    because of the first, even when unrelated changes are allowed.
 
     When ada plans '{"kind": "new_weights", "model": "reader", "weights_version": "w2"}' at daemon 1
     And ben plans '{"kind": "new_weights", "model": "reader", "weights_version": "w1"}' at daemon 2
--- a/features/operators/steps/command_steps.py
+++ b/features/operators/steps/command_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the operators' commands, run against daemons on another thread."""
+"""Steps for the operators' commands, run against daemons on another thread."""
 
 import contextlib
 import os
--- a/features/operators/steps/plan_steps.py
+++ b/features/operators/steps/plan_steps.py
@@ -1,4 +1,4 @@
-"""Steps of planning and confirming."""
+"""Steps for planning and confirming."""
 
 import asyncio
 import dataclasses
@@ -76,7 +76,7 @@
     context.world.table.fail(prefix, fault)
 
 
-@when("the write after the commit is lost with its daemon")
+@when("the daemon dies at the write after the commit")
 def when_dies(context):
     table = context.world.table
     inner = table.inner.commit
@@ -116,7 +116,7 @@
     return customer.cache_salt
 
 
-@then("its cached blocks are not those of the first")
+@then("its cache salt differs from that of the first")
 def then_other_salt(context):
     salt = cache_salt(context)
     assert salt and salt != context.first_salt, salt
@@ -150,7 +150,7 @@
 def when_called(context, key):
     keys = {
         "no key": "",
-        "a key nobody has": "lpo-nobody",
+        "an unknown key": "lpo-nobody",
         "the caller key": context.caller_key,
         "an operator key": OPERATOR_KEYS["ada"],
     }
@@ -212,7 +212,7 @@
     assert text in json.dumps(context.answer[1]), context.answer
 
 
-@then("the answer says when to come back")
+@then("the answer says when to retry")
 def then_retry(context):
     assert context.answer[1]["retry_after_seconds"] > 0, context.answer
     assert context.answer[1]["kind"] == "store_unavailable", context.answer
@@ -235,7 +235,7 @@
         assert found.customer == name == shown["customer"]
 
 
-@then("the key shown stands in no row of the table")
+@then("the key shown is stored in no row of the table")
 def then_not_kept(context):
     secret = context.shown.removeprefix("lpk-").encode()
     assert all(secret not in row.value for row in context.world.model.rows.values())
--- a/features/operators/steps/tls_steps.py
+++ b/features/operators/steps/tls_steps.py
@@ -1,4 +1,4 @@
-"""Steps of replacing certificates."""
+"""Steps for the replacement of certificates."""
 
 import asyncio
 import pathlib
@@ -73,7 +73,7 @@
 
 
 async def peer_certificate(context, host):
-    """Return the DER certificate that a new connection is shown."""
+    """Return the DER certificate that a new connection receives."""
     _, writer = await asyncio.open_connection(
         "127.0.0.1", context.port, ssl=context.trust, server_hostname=host
     )
@@ -92,7 +92,7 @@
         pairs = {
             "certificate B with its key": (b_cert, b_key),
             "certificate B with A's key": (b_cert, a_key),
-            "certificate B cut in half": (b_cert[: len(b_cert) // 2], b_key),
+            "certificate B truncated": (b_cert[: len(b_cert) // 2], b_key),
             "an empty file": (b"", b_key),
         }
         write_pair(context, *pairs[change])
--- a/features/operators/steps/world.py
+++ b/features/operators/steps/world.py
@@ -1,4 +1,4 @@
-"""Daemons with an operators' API over one table stand-in."""
+"""Daemons that serve the operators' API, on one table stand-in."""
 
 from aiohttp import web
 from aiohttp.test_utils import TestClient, TestServer
--- a/features/operators/tls.feature
+++ b/features/operators/tls.feature
@@ -4,9 +4,9 @@
     Given a TLS listener with certificate A
 
   Scenario Outline: The files change
-    An operator renews the certificate of a running daemon by writing files.
-    Meant well or half done, callers must go on connecting: with the new
-    certificate where the pair is whole, with the old one where it is not.
+    An operator renews the certificate of a running daemon by replacing its files.
+    Callers must be able to connect at any time: with the new certificate if the pair
+    is valid, with the old one if it is not.
 
     When <change> is written
     Then a new connection by <address> sees certificate <seen>
@@ -18,7 +18,7 @@
       | certificate B with its key    | number  | B    |
       | certificate B with A's key    | name    | A    |
       | certificate B with A's key    | number  | A    |
-      | certificate B cut in half     | number  | A    |
+      | certificate B truncated       | number  | A    |
       | an empty file                 | number  | A    |
       | no file at all                | number  | A    |
 
