--- a/features/capacity/steps/whole_steps.py
+++ b/features/capacity/steps/whole_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a rollout over real sockets."""
+"""Steps for a rollout over real sockets."""
 
 import asyncio
 import unittest.mock
@@ -85,7 +85,7 @@
             await asyncio.gather(*senders)
             _, body = await call(session, fleet, 0, "GET", "/v1/fleet")
             context.fleet = body
-            context.told = await ask_revisions(body["daemons"])
+            context.reported_revisions = await ask_revisions(body["daemons"])
         context.held = [
             engine.desk.weights_version for engine in fleet.standins.engines
         ]
@@ -101,7 +101,7 @@
             await asyncio.sleep(0.2)
 
 
-@given("a whole deployment of 3 daemons and 4 engines over HTTP")
+@given("a complete deployment of 3 daemons and 4 engines over HTTP")
 def given_whole(context):
     context.statuses = []
 
@@ -120,7 +120,7 @@
         asyncio.run(roll_out(context))
 
 
-@then("the engines that came up later were given kept blocks before their share rose")
+@then("the reloaded engines were given stored blocks before their share rose")
 def then_imported(context):
     assert context.imports and set(context.imports) == {(200, "w2")}, context.imports
 
@@ -128,7 +128,9 @@
 @then("the fleet shows the last revision in force on every daemon")
 def then_revisions(context):
     names = [daemon["daemon_id"] for daemon in context.fleet["daemons"]]
-    assert context.told == dict.fromkeys(names, context.fleet["revision"]), context.told
+    assert context.reported_revisions == dict.fromkeys(
+        names, context.fleet["revision"]
+    ), context.reported_revisions
     assert len(names) == 3, names
 
 
--- a/features/operators/steps/plan_steps.py
+++ b/features/operators/steps/plan_steps.py
@@ -1,4 +1,4 @@
-"""Steps of planning and confirming."""
+"""Steps for planning and confirming."""
 
 import asyncio
 import dataclasses
@@ -76,7 +76,7 @@
     context.world.table.fail(prefix, fault)
 
 
-@when("the write after the commit is lost with its daemon")
+@when("the daemon dies at the write after the commit")
 def when_dies(context):
     table = context.world.table
     inner = table.inner.commit
@@ -116,7 +116,7 @@
     return customer.cache_salt
 
 
-@then("its cached blocks are not those of the first")
+@then("its cache salt differs from that of the first")
 def then_other_salt(context):
     salt = cache_salt(context)
     assert salt and salt != context.first_salt, salt
@@ -150,7 +150,7 @@
 def when_called(context, key):
     keys = {
         "no key": "",
-        "a key nobody has": "lpo-nobody",
+        "an unknown key": "lpo-nobody",
         "the caller key": context.caller_key,
         "an operator key": OPERATOR_KEYS["ada"],
     }
@@ -187,12 +187,12 @@
     (name,) = context.answer[1]["intents"]
     document = {"kind": "pause_intent", "intent": name}
     plan = context.world.plan(1, document, "ben")
-    keeper = context.world.keepers[0]
+    manager = context.world.managers[0]
     basis = context.world.configuration(0)
     intent = basis.capacity_intents[0]
     moved = dataclasses.replace(intent, note="moved")
     changed = dataclasses.replace(basis, capacity_intents=[moved])
-    context.world.run(keeper.commit(basis.revision, changed))
+    context.world.run(manager.commit(basis.revision, changed))
     context.answer = context.world.confirm(1, plan["plan_id"], "ben")
 
 
@@ -212,7 +212,7 @@
     assert text in json.dumps(context.answer[1]), context.answer
 
 
-@then("the answer says when to come back")
+@then("the answer says when to retry")
 def then_retry(context):
     assert context.answer[1]["retry_after_seconds"] > 0, context.answer
     assert context.answer[1]["kind"] == "store_unavailable", context.answer
@@ -229,13 +229,13 @@
 def then_key_works(context, name):
     (shown,) = context.answer[1]["keys"]
     context.shown = shown["key"]
-    for n, keeper in enumerate(context.world.keepers):
+    for n, manager in enumerate(context.world.managers):
         context.world.configuration(n)
-        found = keeper.view.customer_by_key_hash[hash_key(shown["key"])]
+        found = manager.view.customer_by_key_hash[hash_key(shown["key"])]
         assert found.customer == name == shown["customer"]
 
 
-@then("the key shown stands in no row of the table")
+@then("the key shown is stored in no row of the table")
 def then_not_kept(context):
     secret = context.shown.removeprefix("lpk-").encode()
     assert all(secret not in row.value for row in context.world.model.rows.values())
--- a/features/operators/steps/tls_steps.py
+++ b/features/operators/steps/tls_steps.py
@@ -1,4 +1,4 @@
-"""Steps of replacing certificates."""
+"""Steps for the replacement of certificates."""
 
 import asyncio
 import pathlib
@@ -36,7 +36,7 @@
         certificate_path=str(folder / "cert.pem"), key_path=str(folder / "key.pem")
     )
     write_pair(context, *context.pairs["A"])
-    context.keeper = make_tls_manager("callers", context.tls).unwrap()
+    context.manager = make_tls_manager("callers", context.tls).unwrap()
     context.trust = ssl.create_default_context()
     context.ca.configure_trust(context.trust)
     context.loop.run_until_complete(open_listener(context))
@@ -58,7 +58,7 @@
     context.runner = web.AppRunner(app)
     await context.runner.setup()
     site = web.TCPSite(
-        context.runner, "127.0.0.1", 0, ssl_context=context.keeper.context
+        context.runner, "127.0.0.1", 0, ssl_context=context.manager.context
     )
     await site.start()
     context.port = context.runner.addresses[0][1]
@@ -73,7 +73,7 @@
 
 
 async def peer_certificate(context, host):
-    """Return the DER certificate that a new connection is shown."""
+    """Return the DER certificate that a new connection receives."""
     _, writer = await asyncio.open_connection(
         "127.0.0.1", context.port, ssl=context.trust, server_hostname=host
     )
@@ -92,11 +92,11 @@
         pairs = {
             "certificate B with its key": (b_cert, b_key),
             "certificate B with A's key": (b_cert, a_key),
-            "certificate B cut in half": (b_cert[: len(b_cert) // 2], b_key),
+            "certificate B truncated": (b_cert[: len(b_cert) // 2], b_key),
             "an empty file": (b"", b_key),
         }
         write_pair(context, *pairs[change])
-    context.keeper.reload()
+    context.manager.reload()
 
 
 @then("a new connection by {address} sees certificate {name}")
--- a/lycheepost/operators/access.py
+++ b/lycheepost/operators/access.py
@@ -1,8 +1,8 @@
-"""Who may use the operators' API.
+"""Authentication of the operators' API.
 
-Operator keys are known by their hashes in the settings, caller keys by theirs in
-the configuration. A caller key opens nothing here, and an operator key opens
-nothing of a customer's.
+Operator keys are identified by their hashes in the settings, caller keys by theirs in
+the configuration. A caller key gives no access to this API, and an operator key gives
+no access to a customer's data.
 """
 
 import hmac
@@ -18,7 +18,7 @@
 from lycheepost.utils.keys import hash_key
 
 _SCHEME = "bearer"
-_NAME_CHARACTERS = 12
+_OPERATOR_NAME_LENGTH = 12
 
 
 @dataclass(frozen=True)
@@ -26,8 +26,8 @@
     """The operator behind one call.
 
     Attributes:
-        name: First characters of the key's hash; enough to tell who did what.
-        key: The key itself, held only while the call lasts.
+        name: First characters of the key's hash; identifies the operator in records.
+        key: The key itself, kept only for the duration of the call.
     """
 
     name: str
@@ -37,14 +37,14 @@
 def identify_operator(
     deps: OperatorDeps, authorization: str | None
 ) -> Result[Operator, OperatorError]:
-    """Return the operator of an ``Authorization`` header, or the refusal."""
+    """Return the operator of an ``Authorization`` header, or the error."""
     scheme, _, key = (authorization or "").partition(" ")
     key = key.strip()
     if scheme.lower() != _SCHEME or not key:
         return Failure(_not_authenticated("The call carries no bearer key."))
     key_hash = hash_key(key)
     if any(hmac.compare_digest(key_hash, known) for known in deps.settings.key_hashes):
-        return Success(Operator(key_hash[:_NAME_CHARACTERS], key))
+        return Success(Operator(key_hash[:_OPERATOR_NAME_LENGTH], key))
     if key_hash in deps.revisions.view.customer_by_key_hash:
         reason = "A caller key does not open the operators' API."
         return Failure(OperatorError(reason, OperatorErrorKind.NOT_AN_OPERATOR))
--- a/lycheepost/operators/capacity_changes.py
+++ b/lycheepost/operators/capacity_changes.py
@@ -1,9 +1,8 @@
 """Apply the capacity changes of an intent: create, pause, resume, cancel.
 
-A capacity intent is only recorded by its plan; ``capacity`` carries it out over
-time. What the plan can know beforehand, it says: the steps, how long they take
-at the weight store's rate with the group's ``concurrent_loads``, and what stands
-against it.
+A plan only records a capacity intent; ``capacity`` executes it over time. The plan
+states what can be known in advance: the steps, their duration at the weight store's
+rate with the group's ``concurrent_loads``, and conflicts.
 """
 
 import math
@@ -29,6 +28,7 @@
 from lycheepost.generated.operators import (
     PlanConflict,
 )
+from lycheepost.operators.capacity_control import IntentControl, control_intent
 from lycheepost.operators.capacity_estimates import (
     CapacityContext,
     estimate_load,
@@ -43,20 +43,19 @@
     accepted_versions,
     held_version,
 )
-from lycheepost.operators.capacity_steering import Steering, steer_intent
 from lycheepost.operators.change_results import Applied, ChangeResult, check_present
 from lycheepost.operators.items import Draft
 from lycheepost.operators.target_changes import check_enough_serving
 from lycheepost.utils.documents import Fault
 
 NewCapacity = HoldReady | Retire | NewWeights | ChangeRole
-CapacityChange = NewCapacity | Steering
+CapacityChange = NewCapacity | IntentControl
 
 
 def apply_capacity_change(
     draft: Draft, change: CapacityChange, context: CapacityContext
 ) -> ChangeResult:
-    """Record a capacity change in the draft, or return why it cannot be."""
+    """Record a capacity change in the draft, or return its faults."""
     match change:
         case HoldReady():
             return _hold_ready(draft, change, context)
@@ -67,7 +66,7 @@
         case ChangeRole():
             return _change_role(draft, change, context)
         case PauseIntent() | ResumeIntent() | CancelIntent():
-            return steer_intent(draft, change, context)
+            return control_intent(draft, change, context)
 
 
 def _check_group(
--- a/lycheepost/operators/capacity_steps.py
+++ b/lycheepost/operators/capacity_steps.py
@@ -1,9 +1,9 @@
-"""Move the step of one target on: drain, load, warm, done.
+"""Advance the step of one target: drain, load, warm, done.
 
-A step waits until a load is free and enough others serve; then its target takes
-no new work (draining), is told its new state once it runs nothing (loading), and
-takes a growing share of traffic (warming). Each move is recorded before anything
-is sent for it.
+A step waits until a load slot is free and enough others serve. Then its target gets no
+new work (draining), is sent its new state once it runs no requests (loading), and gets
+a growing share of traffic (warming). Each transition is recorded before anything is
+sent for it.
 """
 
 import dataclasses
@@ -19,7 +19,7 @@
     TargetDesiredState,
 )
 from lycheepost.generated.engine import EngineHealth, EngineHealthState
-from lycheepost.operators.capacity_group import GroupWork
+from lycheepost.operators.capacity_group import GroupContext
 from lycheepost.operators.capacity_records import (
     FULL_SHARE,
     SERVING_SHARES,
@@ -30,62 +30,67 @@
     held_version,
 )
 
-_GIVEN_UP_WHEN_RETIRED = frozenset(
+_ABANDONED_WHEN_RETIRED = frozenset(
     {
         CapacityStepState.WAITING,
         CapacityStepState.DRAINING,
         CapacityStepState.WARMING,
     }
 )
-"""A load under way is waited for, since it takes up a load slot."""
+"""A load in progress is not abandoned, since it holds a load slot."""
 
 
-def move_step(
-    work: GroupWork,
+def advance_step(
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     timing: CapacityTiming,
     next_revision: int,
 ) -> CapacityAction | None:
-    """Move one step on in the draft; return what is to be sent for it now."""
-    target = work.targets.get(step.target)
-    if target is None or work.observe(step.target).is_lost:
-        _lose(work, intent, step, target)
+    """Advance one step in the draft; return the action to send for it now."""
+    target = context.targets.get(step.target)
+    if target is None or context.observe(step.target).is_lost:
+        _end_lost(context, intent, step, target)
         return None
-    if _is_retired_meanwhile(intent, target) and step.state in _GIVEN_UP_WHEN_RETIRED:
-        _enter(work, intent, step, CapacityStepState.DONE, note="it was retired")
+    if _is_retired_meanwhile(intent, target) and step.state in _ABANDONED_WHEN_RETIRED:
+        _set_step_state(
+            context, intent, step, CapacityStepState.DONE, note="it was retired"
+        )
         return None
     match step.state:
         case CapacityStepState.WAITING:
-            _start(work, intent, step, target)
+            _start(context, intent, step, target)
         case CapacityStepState.DRAINING:
-            _drain(work, intent, step, target, timing, next_revision)
+            _drain(context, intent, step, target, timing, next_revision)
         case CapacityStepState.LOADING:
-            return _load(work, intent, step, target, timing)
+            return _load(context, intent, step, target, timing)
         case CapacityStepState.WARMING:
-            return _warm(work, intent, step, target, timing)
+            return _warm(context, intent, step, target, timing)
     return None
 
 
-def _lose(
-    work: GroupWork, intent: CapacityIntent, step: CapacityStep, target: Target | None
+def _end_lost(
+    context: GroupContext,
+    intent: CapacityIntent,
+    step: CapacityStep,
+    target: Target | None,
 ) -> None:
-    """End the step of a target that is no more; machines fail every day.
+    """End the step of a target that no longer exists; machines fail every day.
 
-    It does not count as failed: that would stop a long rollout after two VMs
-    that went for reasons of their own.
+    The step does not count as failed: otherwise two unrelated VM failures would stop a
+    long rollout.
     """
     if step.state is CapacityStepState.DONE:
         return
     if intent.kind is CapacityIntentKind.RETIRE and target is not None:
-        _retire(work, target)
-    _enter(work, intent, step, CapacityStepState.DONE, note="it is gone")
+        _retire(context, target)
+    _set_step_state(context, intent, step, CapacityStepState.DONE, note="it is gone")
 
 
 def _is_retired_meanwhile(intent: CapacityIntent, target: Target) -> bool:
     """Return whether an operator retired the target while its step was open.
 
-    What was accepted never reverts, so the step must not let it serve again.
+    A retirement is never reverted, so the step must not make the target serve again.
     """
     return (
         intent.kind is not CapacityIntentKind.RETIRE
@@ -93,8 +98,8 @@
     )
 
 
-def _enter(
-    work: GroupWork,
+def _set_step_state(
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     state: CapacityStepState,
@@ -103,51 +108,53 @@
     moved = dataclasses.replace(
         step,
         state=state,
-        since_wall_seconds=work.now_wall_seconds,
+        since_wall_seconds=context.now_wall_seconds,
         **{"note": "", **fields},  # type: ignore[arg-type]
     )
-    work.put_steps(intent.intent, [moved])
+    context.put_steps(intent.intent, [moved])
 
 
-def _retire(work: GroupWork, target: Target) -> None:
-    work.put_target(
+def _retire(context: GroupContext, target: Target) -> None:
+    context.put_target(
         dataclasses.replace(target, desired_state=TargetDesiredState.RETIRED)
     )
 
 
 def _start(
-    work: GroupWork,
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     target: Target,
 ) -> None:
     if intent.state is not CapacityIntentState.RUNNING:
         return
-    if step.target in work.busy_targets():
+    if step.target in context.busy_targets():
         return
     is_serving = target.desired_state is TargetDesiredState.SERVING
     needs_load = intent.kind is not CapacityIntentKind.RETIRE
-    # The cheap checks come first: a rollout over 1,500 targets has nearly all of
-    # its steps waiting here at each look.
-    if needs_load and not _may_load(work, step):
+    # The cheap checks come first: in a rollout over 1,500 targets nearly all steps wait
+    # here at each tick.
+    if needs_load and not _may_load(context, step):
         return
-    if is_serving and not work.may_take_out(target):
+    if is_serving and not context.may_take_out(target):
         return
     if not needs_load:
-        _retire(work, target)
-        _enter(work, intent, step, CapacityStepState.DRAINING, was_serving=is_serving)
+        _retire(context, target)
+        _set_step_state(
+            context, intent, step, CapacityStepState.DRAINING, was_serving=is_serving
+        )
         return
-    # A target that stands by may have served until a moment ago and still run
-    # something, so it is drained as well.
+    # A standby target may have served until recently and still run requests, so it is
+    # drained as well.
     is_to_serve = is_serving or intent.kind is CapacityIntentKind.HOLD_READY
-    held = held_version(target, work.model())
-    work.put_target(
+    held = held_version(target, context.model())
+    context.put_target(
         dataclasses.replace(
             target, desired_state=TargetDesiredState.STANDBY, weights_version=held
         )
     )
-    _enter(
-        work,
+    _set_step_state(
+        context,
         intent,
         step,
         CapacityStepState.DRAINING,
@@ -155,18 +162,17 @@
     )
 
 
-def _may_load(work: GroupWork, step: CapacityStep) -> bool:
-    observed = work.observe(step.target)
-    if observed.health is None or not work.has_free_load(step.target):
-        # A silent target would hold a load slot and do nothing with it.
+def _may_load(context: GroupContext, step: CapacityStep) -> bool:
+    observed = context.observe(step.target)
+    if observed.health is None or not context.has_free_load_slot(step.target):
+        # A target that does not respond would hold a load slot without loading.
         return False
-    # What loads for somebody else is left alone; only a step's own load is begun
-    # again.
+    # A load for another purpose is not disturbed; only a step's own load is restarted.
     return not observed.is_loading or step.desired_version > 0
 
 
 def _drain(
-    work: GroupWork,
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     target: Target,
@@ -174,69 +180,73 @@
     next_revision: int,
 ) -> None:
     if intent.state is CapacityIntentState.CANCELLED:
-        _put_back(work, intent, step, target)
+        _undo_drain(context, intent, step, target)
         return
-    if not _is_idle(work, step, timing):
+    if not _is_idle(context, step, timing):
         return
     if intent.kind is CapacityIntentKind.RETIRE:
-        _enter(work, intent, step, CapacityStepState.DONE)
+        _set_step_state(context, intent, step, CapacityStepState.DONE)
         return
-    _enter(work, intent, step, CapacityStepState.LOADING, desired_version=next_revision)
+    _set_step_state(
+        context, intent, step, CapacityStepState.LOADING, desired_version=next_revision
+    )
 
 
-def _put_back(
-    work: GroupWork, intent: CapacityIntent, step: CapacityStep, target: Target
+def _undo_drain(
+    context: GroupContext, intent: CapacityIntent, step: CapacityStep, target: Target
 ) -> None:
     state = TargetDesiredState.STANDBY
     if step.was_serving and intent.kind is not CapacityIntentKind.HOLD_READY:
         state = TargetDesiredState.SERVING
-    work.put_target(dataclasses.replace(target, desired_state=state))
-    _enter(work, intent, step, CapacityStepState.WAITING)
+    context.put_target(dataclasses.replace(target, desired_state=state))
+    _set_step_state(context, intent, step, CapacityStepState.WAITING)
 
 
-def _is_idle(work: GroupWork, step: CapacityStep, timing: CapacityTiming) -> bool:
-    """Return whether the target surely runs nothing any more.
+def _is_idle(context: GroupContext, step: CapacityStep, timing: CapacityTiming) -> bool:
+    """Return whether the target certainly runs no requests.
 
-    A load order ends whatever runs, so a stream would be cut. Daemons may send
-    work until they have the new revision, and load reports lag: only a report
-    measured after the settling time counts. There is no timeout: an answer has
-    a bound on its length, and none is worth cutting for a rollout.
+    A load order aborts running requests, which would truncate streams. Daemons may send
+    work until they have the new revision, and load reports lag, so only a report
+    measured after the settling time counts. There is no time-out: responses are bounded
+    in length, and none should be truncated for a rollout.
     """
     settled_seconds = step.since_wall_seconds + timing.drain_settle_seconds
-    observed = work.observe(step.target)
+    observed = context.observe(step.target)
     return (
-        work.now_wall_seconds >= settled_seconds
+        context.now_wall_seconds >= settled_seconds
         and observed.n_running == 0
         and observed.load_wall_seconds >= settled_seconds
     )
 
 
 def _load(
-    work: GroupWork,
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     target: Target,
     timing: CapacityTiming,
 ) -> OrderAction | None:
-    health = work.observe(step.target).health
-    order = make_order(work, intent, step)
-    if health is not None and _has_arrived(health, order):
-        _end_load(work, intent, step, target, order)
+    health = context.observe(step.target).health
+    order = make_order(context, intent, step)
+    if health is not None and _is_fulfilled(health, order):
+        _end_load(context, intent, step, target, order)
         return None
-    age_seconds = work.now_wall_seconds - step.since_wall_seconds
+    age_seconds = context.now_wall_seconds - step.since_wall_seconds
     if age_seconds > timing.load_timeout_seconds:
-        _enter(work, intent, step, CapacityStepState.FAILED, note="the load timed out")
+        _set_step_state(
+            context, intent, step, CapacityStepState.FAILED, note="the load timed out"
+        )
         return None
-    if health is None or _is_on_its_way(health, order):
+    if health is None or _is_executing(health, order):
         return None
     return order
 
 
 def make_order(
-    work: GroupWork, intent: CapacityIntent, step: CapacityStep
+    context: GroupContext, intent: CapacityIntent, step: CapacityStep
 ) -> OrderAction:
-    """Return the order of a loading step; the same at every repeat."""
-    model = work.model()
+    """Return the order of a loading step; identical at every repeat."""
+    model = context.model()
     state = EngineHealthState.STANDBY
     if step.was_serving:
         state = EngineHealthState.SERVING
@@ -251,7 +261,7 @@
     )
 
 
-def _has_arrived(health: EngineHealth, order: OrderAction) -> bool:
+def _is_fulfilled(health: EngineHealth, order: OrderAction) -> bool:
     return (
         health.state in (EngineHealthState.SERVING, EngineHealthState.STANDBY)
         and (health.state is EngineHealthState.SERVING or order.state is health.state)
@@ -260,8 +270,8 @@
     )
 
 
-def _is_on_its_way(health: EngineHealth, order: OrderAction) -> bool:
-    # An order that comes a second time would begin the load again.
+def _is_executing(health: EngineHealth, order: OrderAction) -> bool:
+    # A repeated order would restart the load.
     return (
         health.state is EngineHealthState.LOADING
         and health.desired_version == order.desired_version
@@ -269,31 +279,31 @@
 
 
 def _end_load(
-    work: GroupWork,
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     target: Target,
     order: OrderAction,
 ) -> None:
-    holds = dataclasses.replace(
+    loaded = dataclasses.replace(
         target, weights_version=step.weights_version or target.weights_version
     )
-    is_out = _is_retired_meanwhile(intent, target) or is_released(intent)
-    if is_out or not step.was_serving:
-        work.put_target(holds)
-        _enter(work, intent, step, CapacityStepState.DONE)
+    stays_out = _is_retired_meanwhile(intent, target) or is_released(intent)
+    if stays_out or not step.was_serving:
+        context.put_target(loaded)
+        _set_step_state(context, intent, step, CapacityStepState.DONE)
         return
     warming = dataclasses.replace(
-        holds,
+        loaded,
         desired_state=TargetDesiredState.SERVING,
         serving_share=SERVING_SHARES[0],
     )
-    work.put_target(warming)
-    _enter(work, intent, step, CapacityStepState.WARMING)
+    context.put_target(warming)
+    _set_step_state(context, intent, step, CapacityStepState.WARMING)
 
 
 def is_released(intent: CapacityIntent) -> bool:
-    """Return whether a hold has ended, so that its targets may stand by again."""
+    """Return whether a hold has ended, so that its targets may return to standby."""
     return intent.kind is CapacityIntentKind.HOLD_READY and intent.state in (
         CapacityIntentState.DONE,
         CapacityIntentState.CANCELLED,
@@ -301,32 +311,32 @@
 
 
 def _warm(
-    work: GroupWork,
+    context: GroupContext,
     intent: CapacityIntent,
     step: CapacityStep,
     target: Target,
     timing: CapacityTiming,
 ) -> WarmAction | None:
-    health = work.observe(step.target).health
-    order = make_order(work, intent, step)
-    if health is not None and not _has_arrived(health, order):
-        # It crashed and came back without what it had loaded.
+    health = context.observe(step.target).health
+    order = make_order(context, intent, step)
+    if health is not None and not _is_fulfilled(health, order):
+        # The target crashed and restarted without its loaded weights.
         standby = dataclasses.replace(target, desired_state=TargetDesiredState.STANDBY)
-        work.put_target(standby)
-        _enter(work, intent, step, CapacityStepState.WAITING)
+        context.put_target(standby)
+        _set_step_state(context, intent, step, CapacityStepState.WAITING)
         return None
     if health is None:
-        # Nothing shows that it still holds what it loaded.
+        # Without a response it is unknown whether the target still holds its weights.
         return None
     if target.serving_share >= FULL_SHARE:
-        _enter(work, intent, step, CapacityStepState.DONE)
+        _set_step_state(context, intent, step, CapacityStepState.DONE)
         return None
-    age_seconds = work.now_wall_seconds - step.since_wall_seconds
+    age_seconds = context.now_wall_seconds - step.since_wall_seconds
     n_rises = int(age_seconds / timing.warm_step_seconds)
     share = SERVING_SHARES[min(n_rises, len(SERVING_SHARES) - 1)]
     if share > target.serving_share:
-        work.put_target(dataclasses.replace(target, serving_share=share))
-    model = work.model()
+        context.put_target(dataclasses.replace(target, serving_share=share))
+    model = context.model()
     if n_rises > 0 or model is None:
         return None
     version = WeightsVersion(held_version(target, model))
--- a/lycheepost/operators/plans.py
+++ b/lycheepost/operators/plans.py
@@ -1,9 +1,9 @@
-"""Plans as rows of the table service.
+"""Storage of plans as rows of the table service.
 
-Any daemon may take the confirm of a plan that another one made, and no VM keeps
-anything, so a plan is a row. Plan ids sort by time: each new plan removes a few
-rows that are long past their expiry, so that no sweep is needed and the table
-holds about a day of plans.
+Any daemon may confirm a plan that another daemon made, and VMs store nothing locally,
+so plans are kept as rows. Plan ids sort by time: each new plan removes a few rows that
+expired long ago, so that no separate sweep is needed and the table holds about a day of
+plans.
 """
 
 from dataclasses import dataclass
@@ -30,14 +30,14 @@
 from lycheepost.utils.documents import decode_record, encode_record
 
 _KEY_PREFIX = "plans/"
-_PLAN_ID_BYTES = 64
-_KEEP_SECONDS = 86_400
-"""How long after its expiry a plan can still be looked up."""
-_REMOVED_PER_PLAN = 4
-"""More than one per new plan, so that a backlog shrinks."""
-_LISTED_PLANS = 500
+_MAX_PLAN_ID_LENGTH = 64
+_RETENTION_SECONDS = 86_400
+"""How long a plan can still be looked up after its expiry."""
+_MAX_REMOVALS_PER_PLAN = 4
+"""Expired plans removed per new plan; more than one, so that a backlog shrinks."""
+_MAX_LISTED_PLANS = 500
 RETRY_SECONDS = 2.0
-"""When to try again after the store did not answer."""
+"""Retry delay after the store did not respond."""
 
 
 @dataclass(frozen=True)
@@ -49,22 +49,22 @@
 
 
 @dataclass(frozen=True)
-class PlanRaced:
-    """Another call changed the plan's row first."""
+class PlanRowChanged:
+    """Another call changed the plan's row concurrently."""
 
 
 class PlanStore:
     """Reads and writes plans.
 
     Args:
-        table: Where the rows are.
+        table: Table that holds the rows.
     """
 
     def __init__(self, table: TablePort) -> None:
         self._table = table
 
     async def create(self, plan: Plan) -> Result[Plan, OperatorError]:
-        """Keep a new plan, and remove some that are long past."""
+        """Store a new plan, and remove some that expired long ago."""
         writes = [Write(_key(plan.plan_id), encode_record(plan))]
         for key in await self._list_stale(plan.created_wall_seconds):
             writes.append(Write(key, None))
@@ -74,29 +74,29 @@
             return Success(plan)
         error = outcome.failure()
         if isinstance(error, OutcomeUnknown):
-            # The id is random and ours: if the row is there, this call wrote it.
+            # The id is random: if the row exists, this call wrote it.
             found = await self.load(PlanId(plan.plan_id))
             if isinstance(found, Success):
                 return Success(plan)
-        return Failure(_turn_error(error, is_applied=False))
+        return Failure(_to_operator_error(error, is_applied=False))
 
     async def _list_stale(self, wall_seconds: float) -> list[str]:
-        page = await self._table.scan(_KEY_PREFIX, None, _REMOVED_PER_PLAN)
+        page = await self._table.scan(_KEY_PREFIX, None, _MAX_REMOVALS_PER_PLAN)
         if not isinstance(page, Success):
             return []
         return [
             row.key
             for row in page.unwrap().rows
-            if _decode(row).expires_wall_seconds + _KEEP_SECONDS < wall_seconds
+            if _decode(row).expires_wall_seconds + _RETENTION_SECONDS < wall_seconds
         ]
 
     async def load(self, plan_id: PlanId) -> Result[StoredPlan, OperatorError]:
-        """Return a plan, or the error of an unknown one or a silent store."""
-        if len(plan_id) > _PLAN_ID_BYTES:
+        """Return a plan, or an error if it is unknown or the store is unavailable."""
+        if len(plan_id) > _MAX_PLAN_ID_LENGTH:
             return Failure(_unknown_plan())
         outcome = await self._table.read((_key(plan_id),))
         if not isinstance(outcome, Success):
-            return Failure(_turn_error(outcome.failure(), is_applied=None))
+            return Failure(_to_operator_error(outcome.failure(), is_applied=None))
         (row,) = outcome.unwrap()
         if row is None:
             return Failure(_unknown_plan())
@@ -105,21 +105,21 @@
     async def list_since(
         self, wall_seconds: float
     ) -> Result[tuple[Plan, ...], OperatorError]:
-        """Return the plans made since then, oldest first, at most 500.
+        """Return up to 500 plans made since ``wall_seconds``, oldest first.
 
-        The scan starts at the time inside the ids: reading a day of plans at the
-        design size would use up half a minute of the table's reads.
+        The scan starts at the time encoded in the ids: reading a day of plans at the
+        design size would use half a minute of the table's read capacity.
         """
         after_key = _key(f"plan-{max(0, int(wall_seconds * 1000)):012x}")
-        outcome = await self._table.scan(_KEY_PREFIX, after_key, _LISTED_PLANS)
+        outcome = await self._table.scan(_KEY_PREFIX, after_key, _MAX_LISTED_PLANS)
         if not isinstance(outcome, Success):
-            return Failure(_turn_error(outcome.failure(), is_applied=False))
+            return Failure(_to_operator_error(outcome.failure(), is_applied=False))
         return Success(tuple(map(_decode, outcome.unwrap().rows)))
 
     async def replace(
         self, stored: StoredPlan, plan: Plan
-    ) -> Result[StoredPlan, OperatorError | PlanRaced]:
-        """Write ``plan`` over ``stored`` unless its row has changed."""
+    ) -> Result[StoredPlan, OperatorError | PlanRowChanged]:
+        """Replace ``stored`` by ``plan`` unless its row has changed."""
         key = _key(plan.plan_id)
         transaction = Transaction(
             (Condition(key, stored.version),), (Write(key, encode_record(plan)),)
@@ -129,12 +129,12 @@
             return Success(StoredPlan(plan, outcome.unwrap().versions[0]))
         error = outcome.failure()
         if isinstance(error, TableConflict):
-            return Failure(PlanRaced())
+            return Failure(PlanRowChanged())
         if isinstance(error, OutcomeUnknown):
             found = await self.load(PlanId(plan.plan_id))
             if isinstance(found, Success) and found.unwrap().plan == plan:
                 return found
-        return Failure(_turn_error(error, is_applied=False))
+        return Failure(_to_operator_error(error, is_applied=False))
 
 
 def _key(plan_id: str) -> str:
@@ -149,7 +149,7 @@
     return OperatorError("There is no such plan.", OperatorErrorKind.UNKNOWN_PLAN)
 
 
-def _turn_error(error: TableError, is_applied: bool | None) -> OperatorError:
+def _to_operator_error(error: TableError, is_applied: bool | None) -> OperatorError:
     return OperatorError(
         f"The table service did not answer: {error.reason}",
         OperatorErrorKind.STORE_UNAVAILABLE,
