--- a/features/platform/steps/demo_steps.py
+++ b/features/platform/steps/demo_steps.py
@@ -4,7 +4,7 @@
 
 from lycheepost.app import platformdemo
 from lycheepost.app.platformfleet import Answer, PlatformFleet
-from lycheepost.platform.models.serverface import PlatformServer, ServerRun
+from lycheepost.platform.models.serverstandin import PlatformServer, ServerRun
 
 
 @when("the platform demo runs for {seconds:d} s")
--- a/features/platform/steps/document_steps.py
+++ b/features/platform/steps/document_steps.py
@@ -27,8 +27,8 @@
 from lycheepost.platform.dialect import ServerDialect
 from lycheepost.platform.documents import decode_configuration, decode_weights
 from lycheepost.platform.following import (
-    MOST_LOGGED_CHARACTERS,
-    MOST_UNUSABLE_LOGGED,
+    MAX_LOGGED_CHARACTERS,
+    MAX_UNUSABLE_LOGGED,
     ServerFollower,
 )
 from lycheepost.platform.registrations import decode_server
@@ -220,8 +220,8 @@
     context.add_cleanup(structlog.configure, wrapper_class=silenced)
     with capture_logs() as context.logs:
         context.follower.take(seen(rows))
-        for number in range(2 * MOST_UNUSABLE_LOGGED):
-            name = f"x{number}-" + "x" * 2 * MOST_LOGGED_CHARACTERS
+        for number in range(2 * MAX_UNUSABLE_LOGGED):
+            name = f"x{number}-" + "x" * 2 * MAX_LOGGED_CHARACTERS
             context.follower.take(seen((ChangedRow(name, b"y" * 5000),)))
 
 
@@ -235,9 +235,9 @@
 def step_bounded(context):
     lines = [line for line in context.logs if "unusable entry" in line["event"]]
     assert [line["target"] for line in lines[:2]] == ["c", "d"]
-    assert len(lines) == MOST_UNUSABLE_LOGGED
-    assert all(len(line["target"]) <= MOST_LOGGED_CHARACTERS for line in lines)
-    assert all(len(line["reason"]) <= MOST_LOGGED_CHARACTERS for line in lines)
+    assert len(lines) == MAX_UNUSABLE_LOGGED
+    assert all(len(line["target"]) <= MAX_LOGGED_CHARACTERS for line in lines)
+    assert all(len(line["reason"]) <= MAX_LOGGED_CHARACTERS for line in lines)
 
 
 @when("c writes a good entry again")
--- a/features/platform/steps/failure_steps.py
+++ b/features/platform/steps/failure_steps.py
@@ -10,10 +10,10 @@
 from lycheepost.callers import forwarderrors
 from lycheepost.callers.errors import Executed
 from lycheepost.platform import headers as names
-from lycheepost.platform.models.serverface import (
+from lycheepost.platform.models.serverstandin import (
     Encoded,
     ExtraAnswer,
-    OwnFailure,
+    ServerFailure,
     PlatformServer,
     Unsealed,
     event_bytes,
@@ -29,7 +29,7 @@
 
 FAULTS = {
     "lost answer": LostAnswer(),
-    "own failure": OwnFailure(),
+    "own failure": ServerFailure(),
     "broken answer": Truncated(0),
     "no seal": Unsealed(),
     "encoding": Encoded(),
--- a/features/platform/steps/fleet_steps.py
+++ b/features/platform/steps/fleet_steps.py
@@ -9,7 +9,7 @@
 
 from lycheepost.app.platformfleet import make_configuration
 from lycheepost.platform import headers as names
-from lycheepost.platform.models.serverface import event_bytes
+from lycheepost.platform.models.serverstandin import event_bytes
 from lycheepost.report.beliefs import find_differences, read_belief
 from lycheepost.state.memberrows import MemberRow
 
@@ -137,7 +137,7 @@
 @when("version {version:d} of the weights is named while order answers are lost")
 def step_named_lost(context, version):
     for server in context.deployment.group("llm"):
-        server.loses_order_answers = True
+        server.drops_order_answers = True
     publish_weights(context, version)
 
 
--- a/features/platform/steps/notice_steps.py
+++ b/features/platform/steps/notice_steps.py
@@ -14,7 +14,7 @@
 from lycheepost.platform.dialect import decode_notice
 
 GRACE_SECONDS = 0.5
-MOST_IN_PAUSE = 2
+MAX_IN_PAUSE = 2
 N_ALBUMS = 8
 """Shared parts of prompts: enough that each engine owns some."""
 GROUPS = {"look-ups": "plain", "streams": "llm"}
@@ -85,7 +85,7 @@
         await asyncio.gather(*tasks)
 
     def _note_arrivals(self, elapsed: float) -> None:
-        n_arrived = len(self.server.runs) + len(self.server.turned_away)
+        n_arrived = len(self.server.runs) + len(self.server.rejected_seconds)
         self.arrivals += [elapsed] * (n_arrived - self._n_known)
         self._n_known = n_arrived
 
@@ -126,7 +126,7 @@
     context.changed_seconds = after_seconds
 
     def leave():
-        traffic.server.says_leaving = True
+        traffic.server.announces_leaving = True
 
     traffic.changes.append((after_seconds, leave))
 
@@ -209,12 +209,12 @@
 )
 def step_few(context):
     traffic = play(context)
-    asked = [at - traffic.started for at in traffic.server.turned_away]
+    asked = [at - traffic.started for at in traffic.server.rejected_seconds]
     assert asked, "it turned nothing away"
     for at in asked:
         since, until = at + GRACE_SECONDS, at + context.pause_seconds
         n = sum(since < arrived <= until for arrived in asked)
-        assert n <= MOST_IN_PAUSE, f"{n} requests in the pause asked for at {at:.3f} s"
+        assert n <= MAX_IN_PAUSE, f"{n} requests in the pause asked for at {at:.3f} s"
 
 
 @then("it serves look-ups again")
@@ -239,7 +239,7 @@
 
     async def are_both():
         await ask_look_up(context.deployment)
-        return all(server.turned_away for server in servers)
+        return all(server.rejected_seconds for server in servers)
 
     context.loop.run_until_complete(context.deployment.until(are_both))
 
@@ -247,7 +247,7 @@
 @when("one more look-up is sent")
 def step_another(context):
     servers = context.deployment.group("plain")
-    context.n_before = [len(server.turned_away) for server in servers]
+    context.n_before = [len(server.rejected_seconds) for server in servers]
     started_seconds = time.monotonic()
     context.answer = context.loop.run_until_complete(ask_look_up(context.deployment))
     context.elapsed_seconds = time.monotonic() - started_seconds
@@ -267,14 +267,14 @@
 @then("no server was asked for it")
 def step_none_asked(context):
     servers = context.deployment.group("plain")
-    assert [len(server.turned_away) for server in servers] == context.n_before
+    assert [len(server.rejected_seconds) for server in servers] == context.n_before
 
 
 @when("the first server says that it leaves and one daemon alone is asked")
 def step_one_hears(context):
     deployment = context.deployment
     server = deployment.group("plain")[0]
-    server.says_leaving = True
+    server.announces_leaving = True
     context.leaving = [server.name]
 
     async def is_heard():
@@ -308,7 +308,7 @@
 @when("the first engine says that it leaves")
 def step_engine_leaves(context):
     server = context.deployment.group("llm")[0]
-    server.says_leaving = True
+    server.announces_leaving = True
     context.leaving = [server.name]
 
 
--- a/features/platform/steps/ratelimit_steps.py
+++ b/features/platform/steps/ratelimit_steps.py
@@ -7,7 +7,7 @@
 from behave import then, when
 from deployment import Deployment
 
-from lycheepost.platform.dialect import decode_figure
+from lycheepost.platform.dialect import parse_non_negative
 
 LIMITS = {
     "a limit of 1.3 a second": 1.3,
@@ -24,12 +24,12 @@
 
 @then('a server that writes "{written}" names {limit}')
 def step_decoded(context, written, limit):
-    assert decode_figure(written) == LIMITS[limit], decode_figure(written)
+    assert parse_non_negative(written) == LIMITS[limit], parse_non_negative(written)
 
 
 @then('a server that writes "" names {limit}')
 def step_nothing(context, limit):
-    assert decode_figure("") == LIMITS[limit]
+    assert parse_non_negative("") == LIMITS[limit]
 
 
 async def look_up(deployment: Deployment, index: int, statuses: list[int | None]):
--- a/features/platform/steps/share_steps.py
+++ b/features/platform/steps/share_steps.py
@@ -10,7 +10,7 @@
 from lycheepost.core.ids import DaemonId
 from lycheepost.platform import storecalls
 from lycheepost.platform.settings import decode_settings
-from lycheepost.platform.storecalls import StoreCalls, feed_kind, read_kind
+from lycheepost.platform.storecalls import StoreCallCounts, feed_kind, read_kind
 
 SETTINGS = """node_name=front-1
 zone=a
@@ -57,7 +57,7 @@
 
 @given("a count of calls to the store")
 def step_calls(context):
-    context.calls = StoreCalls()
+    context.calls = StoreCallCounts()
 
 
 @when("it counts 3 feed of servers, 1 commit of lease and 2 read of members")
@@ -73,7 +73,7 @@
 
 def told(context, now_seconds):
     with mock.patch.object(storecalls, "_log") as log:
-        context.calls.tell(now_seconds)
+        context.calls.log_if_due(now_seconds)
     return [call.kwargs["counts"] for call in log.info.call_args_list]
 
 
--- a/features/platform/steps/store_steps.py
+++ b/features/platform/steps/store_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 from returns.result import Failure
 
-from lycheepost.platform.models.storeface import StoreFace
+from lycheepost.platform.models.storestandin import StoreStandin
 from lycheepost.platform.settings import Endpoint
 from lycheepost.platform.store import OWN_TABLE, StoreClient
 from lycheepost.standin.rowstore import RowChange, RowStore
@@ -31,12 +31,12 @@
 
 @given("a store with {n:d} rows")
 def step_store(context, n):
-    start(context, StoreFace(), n)
+    start(context, StoreStandin(), n)
 
 
 @given("a store with {n:d} rows that changes at every call")
 def step_moving(context, n):
-    face = StoreFace()
+    face = StoreStandin()
     face.store = MovingStore()
     start(context, face, n)
 
--- a/lycheepost/app/platformdaemon.py
+++ b/lycheepost/app/platformdaemon.py
@@ -219,7 +219,7 @@
             self._components.settings.bounds, self._count_retry_shares()
         )
         self._update_topology()
-        self._components.base.store.calls.tell(
+        self._components.base.store.calls.log_if_due(
             self._components.base.clock.now_seconds()
         )
         self._components.traffic.targets.refresh()
--- a/lycheepost/app/platformdemo.py
+++ b/lycheepost/app/platformdemo.py
@@ -20,8 +20,8 @@
     PlatformFleet,
 )
 from lycheepost.platform import headers as names
-from lycheepost.platform.models.serverface import (
-    OwnFailure,
+from lycheepost.platform.models.serverstandin import (
+    ServerFailure,
     answer_text,
     event_bytes,
 )
@@ -43,7 +43,7 @@
 WEIGHTS_AFTER_SHARE = 0.4
 """New weights are published after this share of the requests."""
 
-FAULTS = (LostAnswer(), OwnFailure(), Refused(503), Truncated(2))
+FAULTS = (LostAnswer(), ServerFailure(), Refused(503), Truncated(2))
 _NOT_RUN = (429, 503)
 
 
--- a/lycheepost/app/platformfleet.py
+++ b/lycheepost/app/platformfleet.py
@@ -19,8 +19,8 @@
 from lycheepost.app.platformdaemon import PlatformDaemon, make_platform_daemon
 from lycheepost.core.ids import AvailabilityZone, DaemonId, RegionId
 from lycheepost.platform import headers as names
-from lycheepost.platform.models.serverface import PlatformServer, ServerRun
-from lycheepost.platform.models.storeface import StoreFace
+from lycheepost.platform.models.serverstandin import PlatformServer, ServerRun
+from lycheepost.platform.models.storestandin import StoreStandin
 from lycheepost.platform.settings import Bounds, Endpoint, NodeSettings
 
 HOST = "127.0.0.1"
@@ -142,7 +142,7 @@
     """
 
     def __init__(self, bounds: Bounds = BOUNDS) -> None:
-        self.store = StoreFace()
+        self.store = StoreStandin()
         self.servers: list[PlatformServer] = []
         self.nodes: list[NodeSettings] = []
         self.daemons: list[PlatformDaemon] = []
--- a/lycheepost/app/platformtraffic.py
+++ b/lycheepost/app/platformtraffic.py
@@ -36,7 +36,7 @@
 from lycheepost.peers.exchange import PeerExchange
 from lycheepost.platform.cacheevents import CacheEventsClient
 from lycheepost.platform.dialect import ServerDialect
-from lycheepost.platform.ingress import ClientFront
+from lycheepost.platform.ingress import ClientIngress
 from lycheepost.platform.orders import ServerOrders
 from lycheepost.platform.settings import Bounds
 from lycheepost.state.initial_reads import InitialReads
@@ -85,7 +85,7 @@
     orders: ServerOrders
     targets: TargetList
     routing: RoutingManager
-    front: ClientFront
+    front: ClientIngress
     cache_events: CacheEventsClient
     caches: CacheFollower
     loads: LoadExchange
@@ -209,7 +209,7 @@
         orders=orders,
         targets=targets,
         routing=routing,
-        front=ClientFront(deps, first_reads),
+        front=ClientIngress(deps, first_reads),
         cache_events=cache_events,
         caches=caches,
         loads=loads,
--- a/lycheepost/platform/cacheevents.py
+++ b/lycheepost/platform/cacheevents.py
@@ -12,20 +12,20 @@
 from lycheepost.targets.errors import TargetError, TargetLost
 from lycheepost.utils.decoding import UNREADABLE
 
-HELD_MS = 1000
+LONG_POLL_MS = 1000
 """The longest that a question may be held."""
-CALL_SECONDS = 1.8
+CALL_TIMEOUT_SECONDS = 1.8
 """The time of holding, and as much again less a fifth for an engine that is busy."""
-CONNECT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.3
 """As for orders: a connection takes a few milliseconds."""
-KEPT_SECONDS = 5.0
+KEEPALIVE_SECONDS = 5.0
 """Ten times the pause between two questions."""
 
 _WireEvent = tuple[int, str, str, str, int, str]
 """Number, ``+`` or ``-``, cache scope, part id, tokens kept now, model."""
 
 
-class _WireNews(msgspec.Struct):
+class _WireEvents(msgspec.Struct):
     """``boot_epoch`` changes at a restart; ``lost`` tells of a gap."""
 
     boot_epoch: int
@@ -42,7 +42,9 @@
 
     async def start(self) -> None:
         """Open the session."""
-        self._session = make_call_session(CALL_SECONDS, CONNECT_SECONDS, KEPT_SECONDS)
+        self._session = make_call_session(
+            CALL_TIMEOUT_SECONDS, CONNECT_TIMEOUT_SECONDS, KEEPALIVE_SECONDS
+        )
 
     async def drain(self) -> None:
         """Do nothing: the watch ends first."""
@@ -62,7 +64,7 @@
             async with self._session.get(
                 f"http://{address}/kv-events",
                 params={"since": str(since)},
-                headers={"Wait-Ms": str(HELD_MS)},
+                headers={"Wait-Ms": str(LONG_POLL_MS)},
             ) as response:
                 if response.status != 200:
                     return Failure(TargetError(f"status {response.status}"))
@@ -73,7 +75,7 @@
 
 def _decode(body: bytes) -> Result[CacheNews, TargetError]:
     try:
-        wire = msgspec.json.decode(body, type=_WireNews)
+        wire = msgspec.json.decode(body, type=_WireEvents)
     except UNREADABLE as error:
         return Failure(TargetError(f"events cannot be read: {error}"))
     events = tuple(_to_event(event) for event in wire.events)
--- a/lycheepost/platform/dialect.py
+++ b/lycheepost/platform/dialect.py
@@ -19,7 +19,7 @@
 MISDIRECTED_STATUS = 421
 """Another server has the address, or other weights than were asked for."""
 _UNAVAILABLE_STATUS = 503
-_LEAVING_WORD = "1"
+_LEAVING_VALUE = "1"
 _MILLISECONDS = 1000.0
 
 
@@ -52,11 +52,11 @@
         self._unknown.note(found)
         asked_id = CIMultiDict(call.headers).get(names.ATTEMPT_ID)
         target = found.get(names.TARGET)
-        weights = count_of(found.get(names.WEIGHTS, ""))
+        weights = parse_count(found.get(names.WEIGHTS, ""))
         is_other = status == MISDIRECTED_STATUS
         return AnswerHead(
             status=status,
-            headers=passed_back(headers),
+            headers=client_headers(headers),
             answers_other=_answers_other(found, asked_id),
             is_sealed=names.SEAL in found,
             is_encoded=found.get("Content-Encoding", "identity") != "identity",
@@ -85,7 +85,7 @@
 def _engine_headers(terms: EngineTerms) -> list[tuple[str, str]]:
     headers = [
         (names.CACHE_SCOPE, terms.cache_scope),
-        (names.RANK, str(min(terms.rank, names.MOST_RANK))),
+        (names.RANK, str(min(terms.rank, names.MAX_RANK))),
     ]
     if terms.weights_version:
         headers.append((names.EXPECTED_WEIGHTS, terms.weights_version))
@@ -96,14 +96,14 @@
     return headers
 
 
-def passed_back(headers: list[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
+def client_headers(headers: list[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
     """Return the headers of an answer that go to the client.
 
     The server's load is for this system only.
     """
     return tuple(
         item
-        for item in names.passed_on(headers)
+        for item in names.end_to_end_headers(headers)
         if item[0].lower() != names.LOAD.lower()
     )
 
@@ -113,7 +113,7 @@
 
     Some servers state more figures behind these three.
     """
-    match [count_of(word) for word in text.split(",")]:
+    match [parse_count(word) for word in text.split(",")]:
         case [int(n_running), int(n_waiting), int(n_slots), *_]:
             return SaidLoad(n_running, n_waiting, n_slots)
     return None
@@ -128,15 +128,15 @@
     """
     retry_after_seconds = None
     if status == _UNAVAILABLE_STATUS:
-        retry_after_seconds = decode_figure(headers.get(names.RETRY_AFTER, ""))
+        retry_after_seconds = parse_non_negative(headers.get(names.RETRY_AFTER, ""))
     return TargetNotice(
-        limit_per_second=decode_figure(headers.get(names.RATE_LIMIT, "")),
-        is_leaving=headers.get(names.LEAVING, "").strip() == _LEAVING_WORD,
+        limit_per_second=parse_non_negative(headers.get(names.RATE_LIMIT, "")),
+        is_leaving=headers.get(names.LEAVING, "").strip() == _LEAVING_VALUE,
         retry_after_seconds=retry_after_seconds,
     )
 
 
-def decode_figure(text: str) -> float | None:
+def parse_non_negative(text: str) -> float | None:
     """Return the figure that a text states; None when it states none.
 
     What is no number would keep all requests away for as long as a server says it.
@@ -148,7 +148,7 @@
     return figure if math.isfinite(figure) and figure >= 0.0 else None
 
 
-def count_of(text: str) -> int | None:
+def parse_count(text: str) -> int | None:
     """Return the number that a text states; None when it is no count.
 
     A count below nothing, taken as it stands, would make a load or a prompt seem to
@@ -158,7 +158,7 @@
     return int(text) if text.isascii() and text.isdigit() else None
 
 
-def header_number(headers: Mapping[str, str], name: str) -> int | None:
+def header_int(headers: Mapping[str, str], name: str) -> int | None:
     """Return a header's whole number; None when it is missing or none."""
     try:
         return int(headers[name])
--- a/lycheepost/platform/documents.py
+++ b/lycheepost/platform/documents.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class DocumentFault(LycheepostError):
+class DocumentError(LycheepostError):
     """A row that cannot be used."""
 
 
@@ -135,13 +135,13 @@
     version: int
 
 
-def decode_configuration(data: bytes) -> Result[RouteTable, DocumentFault]:
+def decode_configuration(data: bytes) -> Result[RouteTable, DocumentError]:
     """Return the route table that an operator's configuration describes."""
     try:
         wire = msgspec.json.decode(data, type=_WireConfiguration)
         return Success(_to_route_table(wire))
     except (*UNREADABLE, KeyError) as error:
-        return Failure(DocumentFault(f"the configuration cannot be read: {error}"))
+        return Failure(DocumentError(f"the configuration cannot be read: {error}"))
 
 
 def _to_route_table(wire: _WireConfiguration) -> RouteTable:
@@ -235,10 +235,10 @@
     version: int
 
 
-def decode_weights(data: bytes) -> Result[NamedWeights, DocumentFault]:
+def decode_weights(data: bytes) -> Result[NamedWeights, DocumentError]:
     """Return the weights that an operator named."""
     try:
         wire = msgspec.json.decode(data, type=_WireWeights)
     except UNREADABLE as error:
-        return Failure(DocumentFault(f"the weights cannot be read: {error}"))
+        return Failure(DocumentError(f"the weights cannot be read: {error}"))
     return Success(NamedWeights(ModelId(wire.model), wire.version))
--- a/lycheepost/platform/following.py
+++ b/lycheepost/platform/following.py
@@ -26,11 +26,11 @@
 from lycheepost.state.targetlist import TargetList
 from lycheepost.state.watch import TableUpdate, Watch
 
-MOST_UNUSABLE_LOGGED = 200
+MAX_UNUSABLE_LOGGED = 200
 """Lines on unusable entries in a process's life: a writer that writes one a second
 is told of for three minutes, and cannot fill the log."""
 
-MOST_LOGGED_CHARACTERS = 200
+MAX_LOGGED_CHARACTERS = 200
 """Of names and reasons that another writer chose; the store allows as many bytes."""
 
 OnWeights = Callable[[ModelId, int, float | None], None]
@@ -56,17 +56,17 @@
         self._on_weights = on_weights
         self._is_readable = True
 
-    def take(self, seen: TableUpdate) -> None:
+    def take(self, update: TableUpdate) -> None:
         """Take one answer of the store."""
         # A change is told at once; what a whole read finds may be older.
         named_seconds: float | None = self._clock.now_seconds()
-        if seen.is_whole:
-            named_seconds = seen.before_seconds
-        for row in seen.rows:
+        if update.is_whole:
+            named_seconds = update.before_seconds
+        for row in update.rows:
             self._take_row(row, named_seconds)
         table = self._routing.table
         if table is not None and self._is_readable:
-            self._routing.confirm(table.version, seen.confirmed_seconds)
+            self._routing.confirm(table.version, update.confirmed_seconds)
 
     def _take_row(self, row: ChangedRow, named_seconds: float | None) -> None:
         if row.value is None:
@@ -108,11 +108,11 @@
         self._targets = targets
         self._n_unusable = 0
 
-    def take(self, seen: TableUpdate) -> None:
+    def take(self, update: TableUpdate) -> None:
         """Take one answer of the store."""
         listed: list[ListedTarget] = []
         unusable: list[TargetId] = []
-        for row in seen.rows:
+        for row in update.rows:
             if row.value is None:
                 continue
             target = self._decode(row.key, row.value)
@@ -121,12 +121,12 @@
             else:
                 listed.append(target)
         self._targets.drop_unusable(unusable)
-        if seen.is_whole:
-            self._targets.replace_all(listed, seen.after_outage)
+        if update.is_whole:
+            self._targets.replace_all(listed, update.after_outage)
             return
-        removed = [TargetId(row.key) for row in seen.rows if row.value is None]
+        removed = [TargetId(row.key) for row in update.rows if row.value is None]
         if listed or removed:
-            self._targets.take(listed, removed, seen.after_outage)
+            self._targets.take(listed, removed, update.after_outage)
 
     def _decode(self, name: str, data: bytes) -> ListedTarget | None:
         match decode_server(name, data):
@@ -139,11 +139,11 @@
     def _note_unusable(self, name: str, reason: str) -> None:
         """Log an unusable entry; only the first ones, as a writer may go on."""
         self._n_unusable += 1
-        if self._n_unusable <= MOST_UNUSABLE_LOGGED:
+        if self._n_unusable <= MAX_UNUSABLE_LOGGED:
             _log.warning(
                 "following: unusable entry",
-                target=name[:MOST_LOGGED_CHARACTERS],
-                reason=reason[:MOST_LOGGED_CHARACTERS],
+                target=name[:MAX_LOGGED_CHARACTERS],
+                reason=reason[:MAX_LOGGED_CHARACTERS],
                 n_unusable=self._n_unusable,
             )
 
--- a/lycheepost/platform/headers.py
+++ b/lycheepost/platform/headers.py
@@ -37,7 +37,7 @@
 
 KEY_SCHEME = "token "
 
-MOST_RANK = 9
+MAX_RANK = 9
 
 SYSTEM_ONLY = frozenset(
     name.lower()
@@ -77,7 +77,7 @@
 """They concern one connection, which ends here."""
 
 
-def passed_on(headers: list[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
+def end_to_end_headers(headers: list[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
     """Return the headers that concern more than one connection.
 
     Those that ``Connection`` names are left out as well.
--- a/lycheepost/platform/ingress.py
+++ b/lycheepost/platform/ingress.py
@@ -18,7 +18,7 @@
 from lycheepost.core.ids import ModelId
 from lycheepost.core.routing import Prompt, PromptPart, RouteKind
 from lycheepost.platform import headers as names
-from lycheepost.platform.dialect import count_of, header_number
+from lycheepost.platform.dialect import parse_count, header_int
 from lycheepost.state.initial_reads import InitialReads
 from lycheepost.targets.forwardcall import AnswerHead
 
@@ -29,11 +29,11 @@
 UNCONFIGURED_SECONDS = 15.0
 """Longest pause within a body before a configuration says more."""
 
-FIRST_SHARE = 0.3
+FIRST_READS_WAIT_SHARE = 0.3
 """Part of a caller's patience that it may wait for the first answers of the store after
 a start; then it still has time to go elsewhere."""
 
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 """Most addresses that clients take from one answer, by the platform's protocol."""
 
 _MILLISECONDS = 1000.0
@@ -101,7 +101,7 @@
             raise ConnectionError(str(error)) from error
 
 
-class ClientFront:
+class ClientIngress:
     """Serves clients' requests.
 
     Args:
@@ -160,11 +160,11 @@
         _check_path(request)
         self._check_head(request)
         body = await self._read_body(request)
-        asked = decode_request(request, body, arrived_seconds)
-        await self._first_reads.wait(_first_wait_seconds(asked))
-        way = identify(self._deps, asked)
-        forwarding = Forwarding(self._deps, asked, way, side)
-        if way.route.kind is not RouteKind.NON_IDEMPOTENT:
+        forward_request = decode_request(request, body, arrived_seconds)
+        await self._first_reads.wait(_first_reads_wait_seconds(forward_request))
+        route_match = identify(self._deps, forward_request)
+        forwarding = Forwarding(self._deps, forward_request, route_match, side)
+        if route_match.route.kind is not RouteKind.NON_IDEMPOTENT:
             await forwarding.run()
             return
         # A client that leaves must not cut such a request off half-way: it may
@@ -192,10 +192,10 @@
 
     async def _read_body(self, request: web.BaseRequest) -> bytes:
         table = self._deps.routing.table
-        most_bytes = UNCONFIGURED_BYTES if table is None else table.limits.body_bytes
+        max_bytes = UNCONFIGURED_BYTES if table is None else table.limits.body_bytes
         parts: list[bytes] = []
         n_bytes = request.content_length or 0
-        if n_bytes > most_bytes:
+        if n_bytes > max_bytes:
             raise _too_large()
         n_bytes = 0
         idle_seconds = UNCONFIGURED_SECONDS
@@ -204,7 +204,7 @@
         try:
             while part := await self._read_part(request, idle_seconds):
                 n_bytes += len(part)
-                if n_bytes > most_bytes:
+                if n_bytes > max_bytes:
                     raise _too_large()
                 parts.append(part)
         except TimeoutError:
@@ -252,13 +252,13 @@
         return response
 
 
-def _first_wait_seconds(request: ForwardRequest) -> float:
+def _first_reads_wait_seconds(request: ForwardRequest) -> float:
     """Return how long a request waits for a daemon that has just started."""
     first_token_timeout_seconds = request.first_token_timeout_seconds
     return (
         math.inf
         if first_token_timeout_seconds is None
-        else FIRST_SHARE * first_token_timeout_seconds
+        else FIRST_READS_WAIT_SHARE * first_token_timeout_seconds
     )
 
 
@@ -297,10 +297,10 @@
     """Return a client's request in our own records."""
     headers = request.headers
     host = headers.get("Host", "").rpartition(":")[0] or headers.get("Host", "")
-    deadline_ms = header_number(headers, names.DEADLINE)
+    deadline_ms = header_int(headers, names.DEADLINE)
     kept = [
         (name, value)
-        for name, value in names.passed_on([*headers.items()])
+        for name, value in names.end_to_end_headers([*headers.items()])
         if name.lower() not in names.SYSTEM_ONLY
     ]
     return ForwardRequest(
@@ -314,7 +314,7 @@
         if deadline_ms is None
         else deadline_ms / _MILLISECONDS,
         prompt=decode_prompt(headers),
-        after_event=header_number(headers, names.LAST_EVENT),
+        after_event=header_int(headers, names.LAST_EVENT),
         body=body,
         arrived_seconds=arrived_seconds,
     )
@@ -336,7 +336,7 @@
     model = headers.get(names.MODEL)
     if model is None:
         return None
-    match [count_of(word) for word in headers.get(names.TOKENS, "").split(",")]:
+    match [parse_count(word) for word in headers.get(names.TOKENS, "").split(",")]:
         case [int(n_tokens), int(n_output)]:
             parts = _decode_parts(headers.get(names.PROMPT_PARTS, ""))
             return Prompt(ModelId(model), n_tokens, n_output, parts)
@@ -347,7 +347,7 @@
     parts: list[PromptPart] = []
     for word in filter(None, text.split(",")):
         part_id, _, count = word.partition(":")
-        n_tokens = count_of(count)
+        n_tokens = parse_count(count)
         if n_tokens is None:
             raise _bad_prompt()
         parts.append(PromptPart(part_id.strip(), n_tokens))
@@ -395,7 +395,7 @@
         """Answer a look-up; nobody to name is a failure, not an empty list."""
         if request.path != "/lookup":
             return web.Response(status=404)
-        addresses = self._addresses()[:MOST_ADDRESSES]
+        addresses = self._addresses()[:MAX_ADDRESSES]
         if not addresses:
             return web.Response(status=503)
         answer = {"addresses": addresses, "ttl_s": self._valid_seconds()}
--- a/lycheepost/platform/models/serverface.py
+++ b/lycheepost/platform/models/serverstandin.py
@@ -31,14 +31,14 @@
 )
 from lycheepost.standin.webserver import StandinServer
 
-_NEVER_SECONDS = 3600.0
+_HANG_SECONDS = 3600.0
 RESTART_MS = 1500
 """From one start of a server to its next."""
 _numbers = itertools.count(1)
 
 
 @dataclass(frozen=True, slots=True)
-class OwnFailure:
+class ServerFailure:
     """The server runs the request and answers with its own failure."""
 
     status: int = 500
@@ -70,7 +70,7 @@
     | Swallowed
     | Refused
     | LostAnswer
-    | OwnFailure
+    | ServerFailure
     | ExtraAnswer
     | Unsealed
     | Encoded
@@ -119,17 +119,17 @@
     Attributes:
         runs: Everything that it began to work on.
         n_running: What it works on now.
-        loses_order_answers: Orders are taken and their answers lost.
+        drops_order_answers: Orders are taken and their answers lost.
         on_fault: Called as a stream is about to be broken off.
         n_events: Events of each stream.
         faults: Faults that wait for calls, by attempt id.
         limit_per_second: Requests that it names as its limit; None for no limit. It
             serves them all the same.
-        says_leaving: Its answers say that it leaves. It serves all the same, and its
+        announces_leaving: Its answers say that it leaves. It serves all the same, and its
             entry in the store stays as it is.
         backoff_seconds: It turns requests away and asks for a pause of this length;
             None to take them.
-        turned_away: When it did so, by the loop's clock.
+        rejected_seconds: When it did so, by the loop's clock.
         n_health_checks: How often it was asked for its health.
     """
 
@@ -147,11 +147,11 @@
         self.runs: list[ServerRun] = []
         self.faults: FaultPlan[ServerFault] = FaultPlan()
         self.is_leaving = False
-        self.loses_order_answers = False
+        self.drops_order_answers = False
         self.limit_per_second: float | None = None
-        self.says_leaving = False
+        self.announces_leaving = False
         self.backoff_seconds: float | None = None
-        self.turned_away: list[float] = []
+        self.rejected_seconds: list[float] = []
         self.n_health_checks = 0
         self.on_fault: Callable[[], object] = lambda: None
         self.n_events = n_events
@@ -159,7 +159,7 @@
         self.n_running = 0
         self._server = StandinServer(self._make_app, host, 0)
         self._timing = make_engine_timing(self.name, STANDIN_SPEEDS, SystemClock())
-        self._loads: set[asyncio.Task[None]] = set()
+        self._load_tasks: set[asyncio.Task[None]] = set()
 
     def use_port(self, port: int) -> None:
         """Listen on this port from the next start on."""
@@ -192,7 +192,7 @@
         )
         self._timing.close()
         self._timing = make_engine_timing(self.name, STANDIN_SPEEDS, SystemClock())
-        for load in self._loads:
+        for load in self._load_tasks:
             load.cancel()
         self._server.cut_connections()
 
@@ -206,7 +206,7 @@
         if self.state.model:
             models = [{"name": self.state.model, "version": self.state.version}]
         return msgspec.json.encode(
-            self._own_word()
+            self._start_fields()
             | {
                 "service": self.service,
                 "address": self.address,
@@ -220,7 +220,7 @@
             }
         )
 
-    def _own_word(self) -> dict[str, object]:
+    def _start_fields(self) -> dict[str, object]:
         """Return what stands in all that the server says of itself."""
         started_ms = self.state.started_ms
         return {} if started_ms is None else {"born": started_ms}
@@ -235,7 +235,7 @@
 
     def _head(self, request: web.Request) -> dict[str, str]:
         head = {names.TARGET: self.name, names.LOAD: f"{self.n_running},0,32"}
-        head |= self._notice_head()
+        head |= self._notice_headers()
         attempt_id = request.headers.get(names.ATTEMPT_ID)
         if attempt_id:
             head[names.ATTEMPT_ID] = attempt_id
@@ -243,12 +243,12 @@
             head[names.WEIGHTS] = str(self.state.version)
         return head
 
-    def _notice_head(self) -> dict[str, str]:
+    def _notice_headers(self) -> dict[str, str]:
         """Return what stands in the heads of all its answers."""
         head = {}
         if self.limit_per_second is not None:
             head[names.RATE_LIMIT] = str(self.limit_per_second)
-        if self.says_leaving:
+        if self.announces_leaving:
             head[names.LEAVING] = "1"
         return head
 
@@ -256,8 +256,10 @@
         head = self._head(request) | {names.NOT_RUN: "1"}
         return web.Response(status=status, headers=head)
 
-    def _turn_away(self, request: web.Request, backoff_seconds: float) -> web.Response:
-        self.turned_away.append(asyncio.get_running_loop().time())
+    def _reject_with_backoff(
+        self, request: web.Request, backoff_seconds: float
+    ) -> web.Response:
+        self.rejected_seconds.append(asyncio.get_running_loop().time())
         response = self._reject(request, 503)
         response.headers[names.RETRY_AFTER] = str(backoff_seconds)
         return response
@@ -272,7 +274,7 @@
         if names.ATTEMPT_ID not in headers:
             return self._reject(request, 400)
         if self.backoff_seconds is not None:
-            return self._turn_away(request, self.backoff_seconds)
+            return self._reject_with_backoff(request, self.backoff_seconds)
         if self.state.is_changing:
             return self._reject(request, 503)
         return None
@@ -289,7 +291,7 @@
             [{"name": state.model, "version": state.version}] if state.model else []
         )
         return web.json_response(
-            self._own_word()
+            self._start_fields()
             | {
                 "stage": "colocated",
                 "models": models,
@@ -300,7 +302,7 @@
                 "kv_used": 0,
                 "kv_total": 1000,
             },
-            headers=self._notice_head(),
+            headers=self._notice_headers(),
         )
 
     async def _order(self, request: web.Request) -> web.StreamResponse:
@@ -308,17 +310,17 @@
         state = self.state
         state.orders.append(order)
         if state.is_changing or order.get("expected", state.n_orders) != state.n_orders:
-            return web.Response(status=409, headers=self._notice_head())
+            return web.Response(status=409, headers=self._notice_headers())
         if order["version"] == state.version:
-            return web.Response(status=200, headers=self._notice_head())
+            return web.Response(status=200, headers=self._notice_headers())
         state.n_orders += 1
         state.is_changing = True
         task = asyncio.create_task(self._load(order["version"]))
-        self._loads.add(task)
-        task.add_done_callback(self._loads.discard)
-        if self.loses_order_answers:
+        self._load_tasks.add(task)
+        task.add_done_callback(self._load_tasks.discard)
+        if self.drops_order_answers:
             self._server.cut_connection(request)
-        return web.Response(status=202, headers=self._notice_head())
+        return web.Response(status=202, headers=self._notice_headers())
 
     async def _load(self, version: int) -> None:
         await asyncio.sleep(self.state.load_seconds)
@@ -336,11 +338,11 @@
             case Refused(status=status):
                 return self._reject(request, status)
             case Swallowed():
-                await asyncio.sleep(_NEVER_SECONDS)
+                await asyncio.sleep(_HANG_SECONDS)
         self._record(request, body)
         if isinstance(fault, CrashAndReturn):
             self.restart()
-            await asyncio.sleep(_NEVER_SECONDS)
+            await asyncio.sleep(_HANG_SECONDS)
         self.n_running += 1
         try:
             if names.MODEL in request.headers and self.state.model:
@@ -366,7 +368,7 @@
         match fault:
             case LostAnswer():
                 self._server.cut_connection(request)
-            case OwnFailure(status=status):
+            case ServerFailure(status=status):
                 return web.Response(status=status, headers=head, body=text)
             case Truncated():
                 response = web.StreamResponse(headers=head)
@@ -434,7 +436,7 @@
                 self._server.cut_connection(request)
                 return False
             case Silent(after_events=n) if number > n:
-                await asyncio.sleep(_NEVER_SECONDS)
+                await asyncio.sleep(_HANG_SECONDS)
             case CrashAt(after_events=n) if number > n:
                 await self.stop()
                 return False
--- a/lycheepost/platform/models/storeface.py
+++ b/lycheepost/platform/models/storestandin.py
@@ -20,7 +20,7 @@
 _PAGE_ROWS = 500
 
 
-class StoreFace:
+class StoreStandin:
     """Serves one row store.
 
     Attributes:
@@ -32,7 +32,7 @@
         self.store = RowStore()
         self.n_calls = 0
         self._server = StandinServer(self._make_app, host, port)
-        self._late: set[asyncio.Task[None]] = set()
+        self._late_writes: set[asyncio.Task[None]] = set()
 
     @property
     def url(self) -> str:
@@ -78,8 +78,8 @@
         wire = msgspec.json.decode(await request.read(), type=WireTransaction)
         if self.store.faults.take("n_late_writes"):
             task = asyncio.create_task(self._apply_late(wire))
-            self._late.add(task)
-            task.add_done_callback(self._late.discard)
+            self._late_writes.add(task)
+            task.add_done_callback(self._late_writes.discard)
             self._server.cut_connection(request)
             return web.Response(status=500)
         answer = self._apply(wire)
--- a/lycheepost/platform/orders.py
+++ b/lycheepost/platform/orders.py
@@ -26,10 +26,10 @@
 )
 from lycheepost.utils.decoding import UNREADABLE
 
-CALL_SECONDS = 0.6
+CALL_TIMEOUT_SECONDS = 0.6
 """A server answers a report or takes an order in milliseconds; one that hangs must
 not hold up the others."""
-CONNECT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.3
 """A connection takes a few milliseconds; half of the call is left for the answer."""
 
 _MODES = {
@@ -99,7 +99,7 @@
 
     async def start(self) -> None:
         """Open the session."""
-        self._session = make_call_session(CALL_SECONDS, CONNECT_SECONDS)
+        self._session = make_call_session(CALL_TIMEOUT_SECONDS, CONNECT_TIMEOUT_SECONDS)
 
     async def drain(self) -> None:
         """Do nothing: the duty ends first."""
@@ -147,7 +147,7 @@
             async with self._session.get(
                 f"http://{target.address}{path}", headers=headers
             ) as response:
-                return self._hear(target, response)
+                return self._note_answer(target, response)
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             _log.info(
                 "orders: target not found",
@@ -156,7 +156,9 @@
             )
             return False
 
-    def _hear(self, target: ListedTarget, response: aiohttp.ClientResponse) -> bool:
+    def _note_answer(
+        self, target: ListedTarget, response: aiohttp.ClientResponse
+    ) -> bool:
         """Pass on what an answer says of its server; False when it is another's."""
         named = response.headers.get(names.TARGET)
         if named is not None and named != target.target:
@@ -178,7 +180,7 @@
             async with self._session.request(
                 method, f"http://{target.address}{path}", headers=headers, data=body
             ) as response:
-                self._hear(target, response)
+                self._note_answer(target, response)
                 return Success((response.status, await response.read()))
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return Failure(TargetUnreachable(f"no connection: {error}"))
--- a/lycheepost/platform/registrations.py
+++ b/lycheepost/platform/registrations.py
@@ -19,18 +19,18 @@
     WeightsVersion,
 )
 from lycheepost.core.routing import ListedTarget
-from lycheepost.platform.documents import DocumentFault
-from lycheepost.platform.settings import port_of
+from lycheepost.platform.documents import DocumentError
+from lycheepost.platform.settings import parse_port
 from lycheepost.utils.decoding import UNREADABLE
 
 SERVER_TABLE = "servers"
 
 _LEAVING_BY_STATE = {"ready": False, "draining": True}
-_MOST_SLOTS = 1_000_000
+_MAX_SLOTS = 1_000_000
 """More requests at once than any one process serves."""
 
 _Count = Annotated[int, msgspec.Meta(ge=0)]
-_Slots = Annotated[int, msgspec.Meta(ge=1, le=_MOST_SLOTS)]
+_Slots = Annotated[int, msgspec.Meta(ge=1, le=_MAX_SLOTS)]
 
 
 class _WireServerModel(msgspec.Struct):
@@ -60,11 +60,11 @@
 
 
 @dataclass(frozen=True)
-class EntryFault(DocumentFault):
+class EntryError(DocumentError):
     """A server's entry that names no target."""
 
 
-def decode_server(name: str, data: bytes) -> Result[ListedTarget, EntryFault]:
+def decode_server(name: str, data: bytes) -> Result[ListedTarget, EntryError]:
     """Return the target that a server's entry describes.
 
     Args:
@@ -74,12 +74,12 @@
     try:
         wire = msgspec.json.decode(data, type=_WireServer)
     except UNREADABLE as error:
-        return Failure(EntryFault(f"the entry cannot be read: {error}"))
+        return Failure(EntryError(f"the entry cannot be read: {error}"))
     is_leaving = _LEAVING_BY_STATE.get(wire.state)
     if is_leaving is None:
-        return Failure(EntryFault(f"the state {wire.state[:40]!r} is not known"))
+        return Failure(EntryError(f"the state {wire.state[:40]!r} is not known"))
     if not _is_address(wire.address):
-        return Failure(EntryFault(f"{wire.address[:40]!r} is not IP:PORT"))
+        return Failure(EntryError(f"{wire.address[:40]!r} is not IP:PORT"))
     return Success(
         ListedTarget(
             target=TargetId(name),
@@ -103,4 +103,4 @@
         ipaddress.IPv4Address(host)
     except ValueError:
         return False
-    return port_of(port) is not None
+    return parse_port(port) is not None
--- a/lycheepost/platform/settings.py
+++ b/lycheepost/platform/settings.py
@@ -17,12 +17,12 @@
 from lycheepost.core.quotas import QuotaTolerance
 
 SETTINGS_VARIABLE = "LYCHEEPOST_NODE_FILE"
-MOST_PORT = 65535
+MAX_PORT = 65535
 _MILLISECONDS = 1000.0
 
 
 @dataclass(frozen=True)
-class SettingsFaults(LycheepostError):
+class SettingsError(LycheepostError):
     """A settings file that cannot be used.
 
     Attributes:
@@ -131,7 +131,7 @@
 
     def endpoint(self, name: str) -> Endpoint:
         host, _, text = self.text(name).rpartition(":")
-        port = port_of(text)
+        port = parse_port(text)
         if name in self._values and not (host and port):
             self.faults.append(f"{name} is {self._values[name]!r}, not IP:PORT.")
         return Endpoint(host, port or 0)
@@ -144,7 +144,7 @@
         return Endpoint(host, 0) if host and port == "0" else self.endpoint(name)
 
     def ports(self, name: str) -> tuple[int, int]:
-        first, last = (port_of(text) for text in self._pair(name))
+        first, last = (parse_port(text) for text in self._pair(name))
         if first is None or last is None or last < first:
             self.faults.append(f"{name} is not FIRST,LAST.")
             return 0, 0
@@ -155,10 +155,10 @@
         return first, last
 
 
-def port_of(text: str) -> int | None:
+def parse_port(text: str) -> int | None:
     """Return the port that a text states; None when it is none."""
     is_number = text.isascii() and text.isdigit()
-    return int(text) if is_number and 0 < int(text) <= MOST_PORT else None
+    return int(text) if is_number and 0 < int(text) <= MAX_PORT else None
 
 
 def split_lines(text: str) -> dict[str, str]:
@@ -167,7 +167,7 @@
     return {name.strip(): value.strip() for name, mark, value in pairs if mark}
 
 
-def decode_settings(text: str) -> Result[NodeSettings, SettingsFaults]:
+def decode_settings(text: str) -> Result[NodeSettings, SettingsError]:
     """Return what a settings file says, or all its faults."""
     reader = _Reader(split_lines(text))
     settings = NodeSettings(
@@ -188,7 +188,7 @@
     )
     if reader.faults:
         return Failure(
-            SettingsFaults("The settings cannot be used.", tuple(reader.faults))
+            SettingsError("The settings cannot be used.", tuple(reader.faults))
         )
     return Success(settings)
 
@@ -219,11 +219,11 @@
     return pathlib.Path(os.environ.get(SETTINGS_VARIABLE, ""))
 
 
-def read_node_settings(path: pathlib.Path) -> Result[NodeSettings, SettingsFaults]:
+def read_node_settings(path: pathlib.Path) -> Result[NodeSettings, SettingsError]:
     """Return what the file at ``path`` says, or all its faults."""
     try:
         text = path.read_text()
     except OSError as error:
         reason = f"{path} cannot be read: {error.strerror}."
-        return Failure(SettingsFaults(reason, (reason,)))
+        return Failure(SettingsError(reason, (reason,)))
     return decode_settings(text)
--- a/lycheepost/platform/store.py
+++ b/lycheepost/platform/store.py
@@ -15,7 +15,7 @@
 from lycheepost.platform.sessions import make_call_session
 from lycheepost.platform.settings import Endpoint
 from lycheepost.platform.storecalls import (
-    StoreCalls,
+    StoreCallCounts,
     commit_kind,
     feed_kind,
     read_kind,
@@ -46,17 +46,17 @@
 OWN_TABLE = "lycheepost"
 """All rows of this system."""
 
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 """A connection takes a few milliseconds, also between availability zones."""
 
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 """A read or a transaction takes some milliseconds, by the platform's protocol; a
 store that is a hundred times slower is away for what this system asks of it."""
 
-KEPT_SECONDS = 15.0
+KEEPALIVE_SECONDS = 15.0
 """Connections are used every second or two; one that died is noticed by its call."""
 
-HELD_MARGIN_SECONDS = 0.7
+LONG_POLL_MARGIN_SECONDS = 0.7
 """Beyond the time a question is held; later the connection counts as dead."""
 
 _PAGE_ROWS = 500
@@ -89,11 +89,13 @@
         self.base = f"http://{address}"
         self._session: aiohttp.ClientSession | None = None
         self.n_calls = 0
-        self.calls = StoreCalls()
+        self.calls = StoreCallCounts()
 
     async def start(self) -> None:
         """Open the connection pool."""
-        self._session = make_call_session(CALL_SECONDS, CONNECT_SECONDS, KEPT_SECONDS)
+        self._session = make_call_session(
+            CALL_TIMEOUT_SECONDS, CONNECT_TIMEOUT_SECONDS, KEEPALIVE_SECONDS
+        )
 
     async def drain(self) -> None:
         """Do nothing: others still use it while they drain."""
@@ -149,7 +151,7 @@
         """Apply a transaction whole, or not at all."""
         self.calls.note(commit_kind(transaction))
         body = msgspec.json.encode(_encode_transaction(transaction))
-        answer = await self._call("POST", "/rows-tx", {}, CALL_SECONDS, body)
+        answer = await self._call("POST", "/rows-tx", {}, CALL_TIMEOUT_SECONDS, body)
         match answer.bind(lambda found: _decode(found, WireCommitted)):
             case Success(committed):
                 n_writes = len(transaction.writes)
@@ -190,7 +192,7 @@
             "after": str(after),
             "wait_ms": str(int(wait_seconds * 1000)),
         }
-        timeout_seconds = wait_seconds + HELD_MARGIN_SECONDS
+        timeout_seconds = wait_seconds + LONG_POLL_MARGIN_SECONDS
         self.calls.note(feed_kind(table))
         answer = await self._call("GET", "/rows-feed", query, timeout_seconds)
         return answer.bind(lambda found: _decode(found, WireRows)).map(
@@ -204,7 +206,7 @@
     ) -> Result[WireRows, TableError]:
         self.calls.note(read_kind(table, query.get("from", "")))
         full = {"table": table, "part": "", **query}
-        answer = await self._call("GET", "/rows-get", full, CALL_SECONDS)
+        answer = await self._call("GET", "/rows-get", full, CALL_TIMEOUT_SECONDS)
         return answer.bind(lambda found: _decode(found, WireRows))
 
     async def _call(
@@ -219,7 +221,7 @@
             raise RuntimeError("the store client is not started")
         self.n_calls += 1
         timeout = aiohttp.ClientTimeout(
-            total=timeout_seconds, sock_connect=CONNECT_SECONDS
+            total=timeout_seconds, sock_connect=CONNECT_TIMEOUT_SECONDS
         )
         headers = {} if body is None else {"Content-Type": "application/json"}
         try:
--- a/lycheepost/platform/storecalls.py
+++ b/lycheepost/platform/storecalls.py
@@ -6,29 +6,32 @@
 
 from lycheepost.ports.table import Transaction
 
-TELL_SECONDS = 5.0
+LOG_INTERVAL_SECONDS = 5.0
 """Between two lines on the calls of a process: one line in five seconds, and none where
 no call was made."""
 
 _log = structlog.get_logger(part="store")
 
 
-class StoreCalls:
+class StoreCallCounts:
     """Calls since the last line, by kind."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
-        self._told_seconds = float("-inf")
+        self._logged_seconds = float("-inf")
 
     def note(self, kind: str) -> None:
         """Count one call."""
         self._counts[kind] += 1
 
-    def tell(self, now_seconds: float) -> None:
+    def log_if_due(self, now_seconds: float) -> None:
         """Write a line if one is due."""
-        if not self._counts or now_seconds < self._told_seconds + TELL_SECONDS:
+        if (
+            not self._counts
+            or now_seconds < self._logged_seconds + LOG_INTERVAL_SECONDS
+        ):
             return
-        self._told_seconds = now_seconds
+        self._logged_seconds = now_seconds
         _log.info("store: calls", counts=dict(sorted(self._counts.items())))
         self._counts.clear()
 
--- a/lycheepost/platform/unknownheaders.py
+++ b/lycheepost/platform/unknownheaders.py
@@ -10,7 +10,7 @@
 
 from lycheepost.platform import headers as names
 
-MOST_NAMES = 32
+MAX_NAMES = 32
 """A server that makes names up must not fill the log."""
 
 _KNOWN = names.CONNECTION_ONLY | {
@@ -48,7 +48,7 @@
             lowered = name.lower()
             if lowered in _KNOWN or lowered in self._seen:
                 continue
-            if len(self._seen) >= MOST_NAMES:
+            if len(self._seen) >= MAX_NAMES:
                 return
             self._seen.add(lowered)
             _log.warning("targets: unknown answer header", name=name)
--- a/tools/faultsoak.py
+++ b/tools/faultsoak.py
@@ -192,9 +192,9 @@
 async def leave(run: SoakRun, _daemon: DaemonProcess) -> None:
     """Let one server say that it leaves; its registration lapses and is back."""
     server = run.rng.choice(run.fleet.servers)
-    if any(other.says_leaving for other in run.fleet.group(server.service)):
+    if any(other.announces_leaving for other in run.fleet.group(server.service)):
         return
-    server.says_leaving = True
+    server.announces_leaving = True
     await pause(run, 0.2, 2.0)
     run.fleet.store.store.put("servers", server.name, None)
     await pause(run, 0.2, 2.0)
--- a/tools/soakfleet.py
+++ b/tools/soakfleet.py
@@ -27,7 +27,7 @@
 )
 from lycheepost.core.ids import DaemonId, RegionId
 from lycheepost.platform import headers as names
-from lycheepost.platform.models.serverface import PlatformServer
+from lycheepost.platform.models.serverstandin import PlatformServer
 from lycheepost.platform.settings import Endpoint, NodeSettings
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
@@ -96,7 +96,7 @@
 
     def _head(self, request: aiohttp.web.Request) -> dict[str, str]:
         attempt_id = request.headers.get(names.ATTEMPT_ID)
-        if self.says_leaving and attempt_id in self.words.arrived_seconds:
+        if self.announces_leaving and attempt_id in self.words.arrived_seconds:
             self.words.said_leaving.add(attempt_id)
         if self.limit_per_second and attempt_id in self.words.arrived_seconds:
             self.words.said_limit.add(attempt_id)
