--- a/features/platform/steps/failure_steps.py
+++ b/features/platform/steps/failure_steps.py
@@ -13,8 +13,8 @@
 from lycheepost.platform.models.serverstandin import (
     Encoded,
     ExtraAnswer,
-    ServerFailure,
     PlatformServer,
+    ServerFailure,
     Unsealed,
     event_bytes,
 )
--- a/lycheepost/platform/__init__.py
+++ b/lycheepost/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The adapter to the users' platform: it only translates.
+"""Adapter to the users' platform; it translates and makes no decisions.
 
-It decodes the platform's settings, documents, calls and headers into the product's
-own records and encodes the product's into theirs. No decision is made here.
+Decodes the platform's settings, documents, calls and headers into lycheepost's own
+records, and encodes lycheepost's records for the platform.
 """
--- a/lycheepost/platform/cacheevents.py
+++ b/lycheepost/platform/cacheevents.py
@@ -1,4 +1,4 @@
-"""Cache events of the platform's engines and stores."""
+"""Reads cache events from the platform's engines and KV stores."""
 
 import aiohttp
 import msgspec
@@ -13,20 +13,23 @@
 from lycheepost.utils.decoding import UNREADABLE
 
 LONG_POLL_MS = 1000
-"""The longest that a question may be held."""
+"""How long a server may hold a long poll before it answers."""
 CALL_TIMEOUT_SECONDS = 1.8
-"""The time of holding, and as much again less a fifth for an engine that is busy."""
+"""``LONG_POLL_MS`` plus 0.8 s for the response of a busy engine."""
 CONNECT_TIMEOUT_SECONDS = 0.3
-"""As for orders: a connection takes a few milliseconds."""
+"""As in ``orders``: connecting takes a few milliseconds."""
 KEEPALIVE_SECONDS = 5.0
-"""Ten times the pause between two questions."""
+"""Ten times the pause between two polls."""
 
 _WireEvent = tuple[int, str, str, str, int, str]
-"""Number, ``+`` or ``-``, cache scope, part id, tokens kept now, model."""
+"""Sequence number, ``+`` or ``-``, cache scope, part id, tokens now cached, model."""
 
 
 class _WireEvents(msgspec.Struct):
-    """``boot_epoch`` changes at a restart; ``lost`` tells of a gap."""
+    """A page of events.
+
+    ``boot_epoch`` changes when the engine restarts; ``lost`` marks a gap in the events.
+    """
 
     boot_epoch: int
     next: int
@@ -47,7 +50,7 @@
         )
 
     async def drain(self) -> None:
-        """Do nothing: the watch ends first."""
+        """Do nothing: the watch that calls this client has ended."""
 
     async def stop(self) -> None:
         """Close the session."""
@@ -57,9 +60,9 @@
     async def read_events(
         self, address: str, since: int
     ) -> Result[CacheNews, TargetError]:
-        """Return the events after ``since``."""
+        """Return the events with a sequence number after ``since``."""
         if self._session is None:
-            raise RuntimeError("the session is not open")
+            raise RuntimeError("the HTTP session is not open")
         try:
             async with self._session.get(
                 f"http://{address}/kv-events",
@@ -70,14 +73,14 @@
                     return Failure(TargetError(f"status {response.status}"))
                 return _decode(await response.read())
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            return Failure(TargetLost(f"no answer: {type(error).__name__}"))
+            return Failure(TargetLost(f"no response: {type(error).__name__}"))
 
 
 def _decode(body: bytes) -> Result[CacheNews, TargetError]:
     try:
         wire = msgspec.json.decode(body, type=_WireEvents)
     except UNREADABLE as error:
-        return Failure(TargetError(f"events cannot be read: {error}"))
+        return Failure(TargetError(f"cache events cannot be decoded: {error}"))
     events = tuple(_to_event(event) for event in wire.events)
     return Success(CacheNews(wire.boot_epoch, wire.next, wire.lost, events))
 
--- a/lycheepost/platform/dialect.py
+++ b/lycheepost/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's servers and the heads of their answers."""
+"""Encodes calls to the platform's servers and decodes their response headers."""
 
 import math
 from collections.abc import Mapping
@@ -17,7 +17,7 @@
 )
 
 MISDIRECTED_STATUS = 421
-"""Another server has the address, or other weights than were asked for."""
+"""The address belongs to another server, or the weights differ from those expected."""
 _UNAVAILABLE_STATUS = 503
 _LEAVING_VALUE = "1"
 _MILLISECONDS = 1000.0
@@ -30,7 +30,7 @@
         self._unknown = UnknownHeaders()
 
     def encode(self, call: ForwardCall) -> list[tuple[str, str]]:
-        """Return all headers of a call."""
+        """Return all request headers of a call."""
         replaced = {names.DEADLINE.lower(), names.LAST_EVENT.lower()}
         headers = [item for item in call.headers if item[0].lower() not in replaced]
         remaining_ms = max(1, int(call.remaining_seconds * _MILLISECONDS))
@@ -47,7 +47,7 @@
     def decode(
         self, call: ForwardCall, status: int, headers: list[tuple[str, str]]
     ) -> AnswerHead:
-        """Return the head of an answer to ``call``."""
+        """Return the status and headers of the response to ``call``."""
         found = CIMultiDict(headers)
         self._unknown.note(found)
         asked_id = CIMultiDict(call.headers).get(names.ATTEMPT_ID)
@@ -71,10 +71,10 @@
 
 
 def _answers_other(found: Mapping[str, str], asked_id: str | None) -> bool:
-    """Tell whether an answer is one to another request.
+    """Return whether a response belongs to another request.
 
-    A server names the request in each answer that it vouches for. One without a name
-    came from a server that spoils its answers, perhaps late and to somebody else.
+    A server names the request in each response that it seals. A sealed response without
+    an attempt id comes from a faulty server and may belong to an earlier request.
     """
     answered_id = found.get(names.ATTEMPT_ID)
     if answered_id is None and names.SEAL not in found:
@@ -97,9 +97,9 @@
 
 
 def client_headers(headers: list[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
-    """Return the headers of an answer that go to the client.
+    """Return the headers of a response that go to the client.
 
-    The server's load is for this system only.
+    The server's load is only for the daemons.
     """
     return tuple(
         item
@@ -109,9 +109,9 @@
 
 
 def decode_load(text: str) -> SaidLoad | None:
-    """Return the load that a server states; None when it states none.
+    """Return the load that a server reports; None when the value is missing or invalid.
 
-    Some servers state more figures behind these three.
+    Some servers append more figures to these three; they are ignored.
     """
     match [parse_count(word) for word in text.split(",")]:
         case [int(n_running), int(n_waiting), int(n_slots), *_]:
@@ -120,11 +120,11 @@
 
 
 def decode_notice(status: int, headers: Mapping[str, str]) -> TargetNotice:
-    """Return what the head of an answer says of its server, beside its load.
+    """Return what response headers report about the server, other than its load.
 
     Args:
-        status: The status of the answer.
-        headers: Its headers, by names of any case.
+        status: The status of the response.
+        headers: Its headers; names are matched without regard to case.
     """
     retry_after_seconds = None
     if status == _UNAVAILABLE_STATUS:
@@ -137,9 +137,10 @@
 
 
 def parse_non_negative(text: str) -> float | None:
-    """Return the figure that a text states; None when it states none.
+    """Return a finite number >= 0; None when ``text`` is not one.
 
-    What is no number would keep all requests away for as long as a server says it.
+    An invalid value, taken as a limit or pause, would keep all requests from the server
+    for as long as it is sent.
     """
     try:
         figure = float(text)
@@ -149,17 +150,17 @@
 
 
 def parse_count(text: str) -> int | None:
-    """Return the number that a text states; None when it is no count.
+    """Return a whole number >= 0; None when ``text`` is not one.
 
-    A count below nothing, taken as it stands, would make a load or a prompt seem to
-    free what others use.
+    A negative count would make a load or a prompt appear to free capacity that other
+    requests use.
     """
     text = text.strip()
     return int(text) if text.isascii() and text.isdigit() else None
 
 
 def header_int(headers: Mapping[str, str], name: str) -> int | None:
-    """Return a header's whole number; None when it is missing or none."""
+    """Return a header's integer value; None when it is missing or not an integer."""
     try:
         return int(headers[name])
     except (KeyError, ValueError):
--- a/lycheepost/platform/documents.py
+++ b/lycheepost/platform/documents.py
@@ -1,4 +1,4 @@
-"""What operators write into the store, decoded into our records."""
+"""Decodes the documents that operators write into the platform's store."""
 
 from dataclasses import dataclass
 
@@ -33,7 +33,7 @@
 
 _MILLISECONDS = 1000.0
 _QUOTA_UNITS = {"token_stream": QuotaUnit.TOKENS}
-"""Quotas of any other unit count requests."""
+"""Quotas with any other unit count requests."""
 
 _KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class DocumentError(LycheepostError):
-    """A row that cannot be used."""
+    """A row that cannot be decoded or is invalid."""
 
 
 class _WireShare(msgspec.Struct):
@@ -53,7 +53,7 @@
 
 
 class _WireRoute(msgspec.Struct):
-    """A route; it names one service or splits its traffic between several."""
+    """A route to one service, or with ``traffic_split`` to several."""
 
     name: str
     host: str
@@ -83,7 +83,7 @@
 
 
 class _WireService(msgspec.Struct):
-    """A service, or with ``kv_store_addr`` the store of kept KV cache."""
+    """A service, or with ``kv_store_addr`` a KV store."""
 
     name: str
     health_path: str = "/health"
@@ -107,9 +107,9 @@
 
     Attributes:
         unit: What its quota counts.
-        uncached_tokens: Tokens that a request counts for which states none.
-        rate_per_s: Units of its quota a second; 0 where it has none.
-        burst: Units beyond that.
+        uncached_tokens: Tokens charged for a request that states no token count.
+        rate_per_s: Units per second that its quota allows; 0 means no quota.
+        burst: Units allowed beyond the rate.
     """
 
     name: str
@@ -141,7 +141,7 @@
         wire = msgspec.json.decode(data, type=_WireConfiguration)
         return Success(_to_route_table(wire))
     except (*UNREADABLE, KeyError) as error:
-        return Failure(DocumentError(f"the configuration cannot be read: {error}"))
+        return Failure(DocumentError(f"the configuration cannot be decoded: {error}"))
 
 
 def _to_route_table(wire: _WireConfiguration) -> RouteTable:
@@ -229,16 +229,16 @@
 
 @dataclass(frozen=True, slots=True)
 class NamedWeights:
-    """The newest weights that an operator named for a model."""
+    """The weights version that an operator wants a model to run."""
 
     model: ModelId
     version: int
 
 
 def decode_weights(data: bytes) -> Result[NamedWeights, DocumentError]:
-    """Return the weights that an operator named."""
+    """Return the model and the weights version of an operator's row."""
     try:
         wire = msgspec.json.decode(data, type=_WireWeights)
     except UNREADABLE as error:
-        return Failure(DocumentError(f"the weights cannot be read: {error}"))
+        return Failure(DocumentError(f"the weights row cannot be decoded: {error}"))
     return Success(NamedWeights(ModelId(wire.model), wire.version))
--- a/lycheepost/platform/following.py
+++ b/lycheepost/platform/following.py
@@ -1,4 +1,4 @@
-"""Follow what operators and servers write, and pass it on in our own records."""
+"""Follows the operators' and servers' tables and applies their changes."""
 
 from collections.abc import Callable
 
@@ -27,11 +27,14 @@
 from lycheepost.state.watch import TableUpdate, Watch
 
 MAX_UNUSABLE_LOGGED = 200
-"""Lines on unusable entries in a process's life: a writer that writes one a second
-is told of for three minutes, and cannot fill the log."""
+"""Log lines on unusable entries over the life of a process.
+
+At one unusable entry a second that is three minutes of log lines; the bound keeps a
+faulty writer from filling the log."""
 
 MAX_LOGGED_CHARACTERS = 200
-"""Of names and reasons that another writer chose; the store allows as many bytes."""
+"""Longest logged part of a name or reason, which another writer may have chosen. The
+store allows names of as many bytes."""
 
 OnWeights = Callable[[ModelId, int, float | None], None]
 
@@ -39,13 +42,13 @@
 
 
 class OperatorFollower:
-    """Puts configurations in force and tells of named weights.
+    """Applies configurations and reports requested weights versions.
 
     Args:
         routing: Holds the route table.
-        clock: Tells when an answer came.
-        on_weights: Told of the version that is named for a model, and from when on
-            it may have been; None when that is not known.
+        clock: Gives the time at which a response arrived.
+        on_weights: Called with a model, its requested version and the earliest time at
+            which the version may have been requested; None when that is unknown.
     """
 
     def __init__(
@@ -57,8 +60,8 @@
         self._is_readable = True
 
     def take(self, update: TableUpdate) -> None:
-        """Take one answer of the store."""
-        # A change is told at once; what a whole read finds may be older.
+        """Apply one response of the store."""
+        # A change is reported at once; a full read may return older rows.
         named_seconds: float | None = self._clock.now_seconds()
         if update.is_whole:
             named_seconds = update.before_seconds
@@ -82,26 +85,26 @@
                 self._is_readable = True
                 self._routing.adopt(table, "store")
             case Failure(error):
-                # The table in force is no longer the newest, so its keys must not
-                # be confirmed by answers of the store.
+                # The active table is no longer the newest, so responses of the store
+                # must not confirm its keys.
                 self._is_readable = False
-                _log.error("following: configuration", reason=error.reason)
+                _log.error("following: configuration rejected", reason=error.reason)
 
     def _take_weights(self, data: bytes, named_seconds: float | None) -> None:
         match decode_weights(data):
             case Success(named):
                 self._on_weights(named.model, named.version, named_seconds)
             case Failure(error):
-                _log.error("following: weights", reason=error.reason)
+                _log.error("following: weights row rejected", reason=error.reason)
 
 
 class ServerFollower:
     """Passes servers' entries on to the target list.
 
-    The failure: another writer's row lies where a server's entry was, or beside it.
-    Taken as an entry it would send requests to nobody; an error over it would leave
-    the whole answer untaken. So each row is decoded by itself, and a target whose
-    entry cannot be used is not used until it has written one that can.
+    Another writer may put a row beside a server's entry or overwrite the entry. Used as
+    an entry, such a row would send requests to an address without a server; an error
+    would discard the complete response. So each row is decoded by itself, and a target
+    with an unusable entry is not used until it has written a valid one.
     """
 
     def __init__(self, targets: TargetList) -> None:
@@ -109,7 +112,7 @@
         self._n_unusable = 0
 
     def take(self, update: TableUpdate) -> None:
-        """Take one answer of the store."""
+        """Apply one response of the store."""
         listed: list[ListedTarget] = []
         unusable: list[TargetId] = []
         for row in update.rows:
@@ -137,7 +140,7 @@
         return None
 
     def _note_unusable(self, name: str, reason: str) -> None:
-        """Log an unusable entry; only the first ones, as a writer may go on."""
+        """Log an unusable entry, up to ``MAX_UNUSABLE_LOGGED`` per process."""
         self._n_unusable += 1
         if self._n_unusable <= MAX_UNUSABLE_LOGGED:
             _log.warning(
--- a/lycheepost/platform/headers.py
+++ b/lycheepost/platform/headers.py
@@ -1,39 +1,39 @@
-"""Names of headers on the platform, each once, and how their values read."""
+"""Names of the platform's headers and the format of their values."""
 
 ATTEMPT_ID = "X-Lycheepost-Attempt-Id"
-"""Names one try of a client; each of its own retries has another."""
+"""Identifies one attempt of a client; each retry has a new id."""
 DEADLINE = "X-Lycheepost-Deadline-Ms"
-"""Milliseconds that the sender still waits, not a point in time."""
+"""Remaining milliseconds that the sender waits, not a point in time."""
 SEAL = "X-Lycheepost-Response-Seal"
 NOT_RUN = "X-Lycheepost-Not-Executed"
 TARGET = "X-Lycheepost-Instance-Id"
 EXPECTED_TARGET = "X-Lycheepost-Target-Instance"
 LOAD = "X-Lycheepost-Server-Load"
-"""``running,waiting,slots``, at some servers with more figures behind them."""
+"""``running,waiting,slots``; some servers append more figures."""
 RATE_LIMIT = "Server-Limit"
-"""Requests a second, a decimal number, that the server takes from all daemons together
-while its answers name it."""
+"""Requests per second that the server accepts from all daemons together; a decimal
+number. It applies while the server's responses carry it."""
 LEAVING = "Server-Leaving"
-"""``1`` in all answers of a server that is leaving."""
+"""``1`` in all responses of a server that is leaving."""
 CUSTOMER = "X-Lycheepost-Tenant"
 MODEL = "X-Lycheepost-Model"
 TOKENS = "X-Lycheepost-Token-Usage"
-"""Not what was used: ``prompt tokens,most output tokens``."""
+"""``prompt tokens,maximum output tokens`` of the request, not the actual usage."""
 PROMPT_PARTS = "X-Lycheepost-Prompt-Prefix"
-"""The whole prompt, not only its prefix: ``ID:TOKENS`` of all parts in order."""
+"""``ID:TOKENS`` of all parts of the prompt in order, not only of its prefix."""
 CACHE_SCOPE = "X-Lycheepost-Cache-Salt"
 FETCH_FROM = "X-Lycheepost-Kv-Source"
 STORE_TO = "X-Lycheepost-Kv-Sink"
 EXPECTED_WEIGHTS = "X-Lycheepost-Expect-Version"
 WEIGHTS = "X-Lycheepost-Weight-Versions"
-"""One version, in spite of the plural."""
+"""A single version, despite the plural name."""
 RANK = "X-Lycheepost-Request-Priority"
-"""0 to 9; 0 is first."""
+"""0 to 9; 0 is the highest priority."""
 LAST_EVENT = "Last-Event-Id"
 AUTHORIZATION = "Authorization"
 RETRY_AFTER = "Retry-After"
-"""Seconds, perhaps with a fraction. Sent to clients with a refusal. A server sends it
-with a 503, and then wants nothing from the daemon that it answers for so long."""
+"""Seconds, possibly with a fraction. Sent to clients with a refusal. A server that
+sends it with a 503 wants no requests from the answered daemon for that time."""
 
 KEY_SCHEME = "token "
 
@@ -56,8 +56,8 @@
         "Kv-From",
     )
 )
-"""Never passed on as a client sent them: a client that could set them would read
-other customers' cached prompts, reserve memory, or pass for somebody else."""
+"""Never forwarded as sent by a client: a client that could set them could read other
+customers' cached prompts, reserve memory or impersonate another customer."""
 
 CONNECTION_ONLY = frozenset(
     {
@@ -74,13 +74,13 @@
         "upgrade",
     }
 )
-"""They concern one connection, which ends here."""
+"""Hop-by-hop headers, which are not forwarded."""
 
 
 def end_to_end_headers(headers: list[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
-    """Return the headers that concern more than one connection.
+    """Return ``headers`` without the hop-by-hop headers.
 
-    Those that ``Connection`` names are left out as well.
+    Headers named by ``Connection`` are left out as well.
     """
     named = {
         word.strip().lower()
--- a/lycheepost/platform/ingress.py
+++ b/lycheepost/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Where the platform's clients come in: requests, readiness and the directory."""
+"""Serves the platform's clients: requests, readiness checks and the directory."""
 
 import asyncio
 import math
@@ -18,23 +18,23 @@
 from lycheepost.core.ids import ModelId
 from lycheepost.core.routing import Prompt, PromptPart, RouteKind
 from lycheepost.platform import headers as names
-from lycheepost.platform.dialect import parse_count, header_int
+from lycheepost.platform.dialect import header_int, parse_count
 from lycheepost.state.initial_reads import InitialReads
 from lycheepost.targets.forwardcall import AnswerHead
 
 UNCONFIGURED_BYTES = 4 * 1024 * 1024
-"""Largest body before a configuration says more: what operators allow where they
-say nothing. Nothing runs then; it is read only to answer in order."""
+"""Largest request body while no configuration is known: the configuration's default.
+Nothing runs then; the body is read only so that the response follows the request."""
 
 UNCONFIGURED_SECONDS = 15.0
-"""Longest pause within a body before a configuration says more."""
+"""Idle time-out of request bodies while no configuration is known."""
 
 FIRST_READS_WAIT_SHARE = 0.3
-"""Part of a caller's patience that it may wait for the first answers of the store after
-a start; then it still has time to go elsewhere."""
+"""Share of a request's first-token time-out for which it may wait for the first
+responses of the store after a start; the rest leaves time to try another daemon."""
 
 MAX_ADDRESSES = 64
-"""Most addresses that clients take from one answer, by the platform's protocol."""
+"""Maximum addresses that clients read from one response, by the platform's protocol."""
 
 _MILLISECONDS = 1000.0
 _log = structlog.get_logger(part="ingress")
@@ -53,7 +53,7 @@
 
     Args:
         request: The client's request.
-        is_leaving: The connection shall end with this answer.
+        is_leaving: Returns whether to close the connection after this response.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self.response: web.StreamResponse | None = None
 
     async def begin(self, head: AnswerHead, length: int | None) -> None:
-        """Send the head."""
+        """Send the status and the headers."""
         response = web.StreamResponse(
             status=head.status, headers=CIMultiDict(head.headers)
         )
@@ -84,12 +84,12 @@
             await self._guard(self.response.write(data))
 
     async def finish(self) -> None:
-        """End the answer as whole."""
+        """End the response as complete."""
         assert self.response is not None
         await self._guard(self.response.write_eof())
 
     def cut(self) -> None:
-        """Break the connection at once."""
+        """Abort the connection."""
         if self._request.transport is not None:
             self._request.transport.abort()
 
@@ -97,7 +97,7 @@
         try:
             await step
         except RuntimeError as error:
-            # What aiohttp raises once the connection is gone.
+            # aiohttp raises RuntimeError once the connection is closed.
             raise ConnectionError(str(error)) from error
 
 
@@ -105,13 +105,13 @@
     """Serves clients' requests.
 
     Args:
-        deps: What forwarding stands on.
-        first_reads: Requests wait for these.
+        deps: Dependencies of forwarding.
+        first_reads: The first reads of the store; requests wait for them.
 
     Attributes:
         n_open: Requests that are being served.
-        is_leaving: Connections end with their next answer.
-        is_closed: No request is taken any more.
+        is_leaving: Connections are closed after their next response.
+        is_closed: New requests are refused.
     """
 
     def __init__(self, deps: ForwardDeps, first_reads: InitialReads) -> None:
@@ -150,7 +150,7 @@
             self.n_open -= 1
             if self.n_open == 0:
                 self._idle.set()
-        # aiohttp asks for a response object also where the connection was cut.
+        # aiohttp requires a response object also if the connection was aborted.
         return side.response or web.Response(status=502)
 
     async def _serve(self, request: web.BaseRequest, side: ClientSide) -> None:
@@ -167,22 +167,22 @@
         if route_match.route.kind is not RouteKind.NON_IDEMPOTENT:
             await forwarding.run()
             return
-        # A client that leaves must not cut such a request off half-way: it may
-        # have run, and a break in the middle is all that would come of it.
+        # A client that disconnects must not cancel a request that may not run twice: it
+        # may already run at a target, and only its result would be lost.
         run = asyncio.create_task(forwarding.run())
         self._runs.add(run)
         run.add_done_callback(self._end_run)
         await asyncio.shield(run)
 
     def _end_run(self, run: asyncio.Task[None]) -> None:
-        """Tell how a run ended that its client did not wait for."""
+        """Log the error of a run; its client may have disconnected before it ended."""
         self._runs.discard(run)
         error = None if run.cancelled() else run.exception()
         if error is not None:
-            _log.info("ingress: run ended", error=type(error).__name__)
+            _log.info("ingress: run failed", error=type(error).__name__)
 
     def _check_head(self, request: web.BaseRequest) -> None:
-        """Refuse heads above the operator's limit; none is known at first."""
+        """Refuse headers above the operator's limit, if a configuration is known."""
         table = self._deps.routing.table
         n_bytes = sum(len(name) + len(value) for name, value in request.raw_headers)
         if table is not None and n_bytes > table.limits.header_bytes:
@@ -212,12 +212,12 @@
         return b"".join(parts)
 
     async def _read_part(self, request: web.BaseRequest, idle_seconds: float) -> bytes:
-        """Return the next part of a body, nothing at its end."""
+        """Return the next part of a body; empty at its end."""
         async with asyncio.timeout(idle_seconds):
             return await request.content.readany()
 
     def _log_error(self, error: CallerError, request: web.BaseRequest) -> None:
-        """Tell what was answered and how fresh the knowledge was that decided it."""
+        """Log the error and the age of the configuration behind it."""
         routing = self._deps.routing
         confirmed = routing.confirmed_seconds
         age_seconds = None
@@ -237,7 +237,7 @@
     def _error_response(
         self, error: CallerError, request: web.BaseRequest
     ) -> web.Response:
-        """Return our own answer; it carries no seal."""
+        """Return the daemon's own error response, which carries no seal."""
         headers = {}
         attempt_id = _attempt_id(request)
         if attempt_id:
@@ -253,7 +253,7 @@
 
 
 def _first_reads_wait_seconds(request: ForwardRequest) -> float:
-    """Return how long a request waits for a daemon that has just started."""
+    """Return how long a request may wait for the first reads of the store."""
     first_token_timeout_seconds = request.first_token_timeout_seconds
     return (
         math.inf
@@ -263,7 +263,7 @@
 
 
 def _status(error: CallerError) -> int:
-    """Return the status; some promise that the request never runs."""
+    """Return the status; 429 and 503 are kept for requests that did not run."""
     if error.code == "quarantined":
         return 503 if error.executed is Executed.NO else 502
     if error.status in (429, 503) and error.executed is not Executed.NO:
@@ -276,12 +276,12 @@
 
 
 def _too_slow() -> CallerError:
-    """Return the refusal of a body that stopped coming; the connection ends with it."""
+    """Return the error for a stalled body; the connection is closed after it."""
     return CallerError("The body stopped coming.", status=408, code="too_slow")
 
 
 def _check_path(request: web.BaseRequest) -> None:
-    """Refuse paths that could not be forwarded byte for byte."""
+    """Refuse paths that cannot be forwarded byte for byte."""
     path = request.raw_path
     if not path.startswith("/") or "#" in path or path.endswith("?"):
         raise CallerError("The path cannot be forwarded.", status=400, code="bad_path")
@@ -294,7 +294,7 @@
 def decode_request(
     request: web.BaseRequest, body: bytes, arrived_seconds: float
 ) -> ForwardRequest:
-    """Return a client's request in our own records."""
+    """Return the record of a client's request."""
     headers = request.headers
     host = headers.get("Host", "").rpartition(":")[0] or headers.get("Host", "")
     deadline_ms = header_int(headers, names.DEADLINE)
@@ -328,10 +328,10 @@
 
 
 def decode_prompt(headers: CIMultiDictProxy[str]) -> Prompt | None:
-    """Return what a client says of its prompt; None when it sends none.
+    """Return the prompt that the request headers describe; None when there is none.
 
     Raises:
-        CallerError: What it says cannot be read.
+        CallerError: The description is invalid.
     """
     model = headers.get(names.MODEL)
     if model is None:
@@ -355,9 +355,9 @@
 
 
 def _bad_prompt() -> CallerError:
-    """Return the refusal of a prompt whose description cannot be read.
+    """Return the error for an invalid description of a prompt.
 
-    Sent on as it is, it would run outside of its customer's cache scope.
+    Forwarded as it is, the request would run outside its customer's cache scope.
     """
     return CallerError(
         "The description of the prompt cannot be read.", status=400, code="bad_prompt"
@@ -365,24 +365,24 @@
 
 
 class Readiness:
-    """Answers the platform's question whether this daemon is ready."""
+    """Serves the platform's readiness check."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer 200 when ready, else 503."""
+        """Respond 200 when ready, else 503."""
         if request.path != "/ready":
             return web.Response(status=404)
         return web.Response(status=200 if self._is_ready() else 503)
 
 
 class Directory:
-    """Tells clients which addresses to use.
+    """Serves the addresses that clients should use.
 
     Args:
         addresses: The addresses, best first.
-        valid_seconds: Returns how long an answer may be kept.
+        valid_seconds: Returns how long clients may cache a response.
     """
 
     def __init__(
@@ -392,7 +392,7 @@
         self._valid_seconds = valid_seconds
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer a look-up; nobody to name is a failure, not an empty list."""
+        """Respond to a lookup: 503 instead of an empty list."""
         if request.path != "/lookup":
             return web.Response(status=404)
         addresses = self._addresses()[:MAX_ADDRESSES]
--- a/lycheepost/platform/models/__init__.py
+++ b/lycheepost/platform/models/__init__.py
@@ -1,1 +1,1 @@
-"""Models of the platform's store and servers that speak its protocol."""
+"""Stand-ins for the platform's store and servers that implement its protocol."""
--- a/lycheepost/platform/models/serverstandin.py
+++ b/lycheepost/platform/models/serverstandin.py
@@ -1,8 +1,9 @@
-"""The platform's servers as stand-ins: an engine or a plain service.
+"""Stand-ins for the platform's servers: engines and plain services.
 
-The engine's time, batches and cache are ``standin.enginetiming``; here is what the
-platform's protocol adds: ids, seals, refusals that say so, weights orders. Each run
-is recorded, so that an audit can count what ran twice or with other bytes.
+``standin.enginetiming`` models an engine's timing, batches and cache. This module adds
+the platform's protocol: ids, seals, refusals marked as not run, and weights orders.
+Each run is recorded, so that an audit can count requests that ran twice or with other
+bytes.
 """
 
 import asyncio
@@ -33,35 +34,35 @@
 
 _HANG_SECONDS = 3600.0
 RESTART_MS = 1500
-"""From one start of a server to its next."""
+"""Difference between the start times of two successive starts of a server."""
 _numbers = itertools.count(1)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerFailure:
-    """The server runs the request and answers with its own failure."""
+    """The server runs the request and responds with an error of its own."""
 
     status: int = 500
 
 
 @dataclass(frozen=True, slots=True)
 class ExtraAnswer:
-    """A whole answer is followed by bytes that belong to no request."""
+    """A complete response is followed by bytes that belong to no request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unsealed:
-    """A success without the server's seal."""
+    """A success response without the server's seal."""
 
 
 @dataclass(frozen=True, slots=True)
 class Encoded:
-    """A success whose body is said to be encoded, as by something on the way."""
+    """A success response with a Content-Encoding, as an intermediary would add."""
 
 
 @dataclass(frozen=True, slots=True)
 class CrashAndReturn:
-    """The server dies of the request and is back at once, under the same name."""
+    """The request crashes the server, which restarts at once under the same name."""
 
 
 ServerFault = (
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRun:
-    """One request that a server began to work on."""
+    """One request that a server began to run."""
 
     attempt_id: str
     method: str
@@ -92,11 +93,11 @@
 
 @dataclass
 class ServerState:
-    """What a server says of itself.
+    """State that a server reports.
 
     Attributes:
-        load_seconds: How long new weights take.
-        started_ms: Unix millisecond of its start; None to state none.
+        load_seconds: How long new weights take to load.
+        started_ms: Unix time of its start in milliseconds; None if it states none.
     """
 
     model: str
@@ -109,28 +110,28 @@
 
 
 class PlatformServer:
-    """One server with its face.
+    """One server that speaks the platform's protocol.
 
     Args:
-        service: The service that it registers for.
+        service: The service that it registers under.
         model: The model that it serves; empty for a plain service.
-        n_events: Events of each stream at first.
+        n_events: Initial value of the attribute.
 
     Attributes:
-        runs: Everything that it began to work on.
-        n_running: What it works on now.
-        drops_order_answers: Orders are taken and their answers lost.
-        on_fault: Called as a stream is about to be broken off.
+        runs: All requests that it began to run.
+        n_running: Requests that it currently runs.
+        drops_order_answers: Whether it accepts orders but drops the responses.
+        on_fault: Called just before a stream is aborted.
         n_events: Events of each stream.
-        faults: Faults that wait for calls, by attempt id.
-        limit_per_second: Requests that it names as its limit; None for no limit. It
-            serves them all the same.
-        announces_leaving: Its answers say that it leaves. It serves all the same, and its
-            entry in the store stays as it is.
-        backoff_seconds: It turns requests away and asks for a pause of this length;
-            None to take them.
-        rejected_seconds: When it did so, by the loop's clock.
-        n_health_checks: How often it was asked for its health.
+        faults: Faults to apply to calls, by attempt id.
+        limit_per_second: The rate limit that it states; None for no limit. It does not
+            enforce it.
+        announces_leaving: Whether its responses say that it is leaving. It still serves
+            requests, and its entry in the store does not change.
+        backoff_seconds: If set, it rejects requests and asks for a back-off of this
+            length.
+        rejected_seconds: The times of these rejections, by the loop's clock.
+        n_health_checks: Number of health checks that it received.
     """
 
     def __init__(
@@ -162,7 +163,7 @@
         self._load_tasks: set[asyncio.Task[None]] = set()
 
     def use_port(self, port: int) -> None:
-        """Listen on this port from the next start on."""
+        """Listen on this port from the next start."""
         self._server = StandinServer(self._make_app, "127.0.0.1", port)
 
     @property
@@ -175,15 +176,17 @@
         await self._server.start()
 
     async def stop(self) -> None:
-        """Cut all connections and stop."""
+        """Close all connections and stop."""
         self._timing.close()
         await self._server.stop()
 
     def restart(self) -> None:
-        """Die and be back at once under the same name, holding only the weights."""
+        """Restart at once under the same name; only the weights are kept."""
         old = self.state
         if old.started_ms is None:
-            raise ValueError("a server that states no start has a new name after it")
+            raise ValueError(
+                "a server that states no start time cannot restart under its name"
+            )
         self.state = ServerState(
             old.model,
             started_ms=old.started_ms + RESTART_MS,
@@ -197,11 +200,11 @@
         self._server.cut_connections()
 
     def freeze(self) -> None:
-        """Let open connections go silent for good; new ones work."""
+        """Stop responding on open connections for good; new connections work."""
         self._server.freeze_connections()
 
     def entry(self, zone: str) -> bytes:
-        """Return what the server writes into the store."""
+        """Return the entry that the server writes into the store."""
         models = []
         if self.state.model:
             models = [{"name": self.state.model, "version": self.state.version}]
@@ -221,7 +224,7 @@
         )
 
     def _start_fields(self) -> dict[str, object]:
-        """Return what stands in all that the server says of itself."""
+        """Return the field with the start time, which entries and reports share."""
         started_ms = self.state.started_ms
         return {} if started_ms is None else {"born": started_ms}
 
@@ -233,28 +236,28 @@
         app.router.add_route("*", "/{path:.*}", self._run)
         return app
 
-    def _head(self, request: web.Request) -> dict[str, str]:
-        head = {names.TARGET: self.name, names.LOAD: f"{self.n_running},0,32"}
-        head |= self._notice_headers()
+    def _response_headers(self, request: web.Request) -> dict[str, str]:
+        headers = {names.TARGET: self.name, names.LOAD: f"{self.n_running},0,32"}
+        headers |= self._notice_headers()
         attempt_id = request.headers.get(names.ATTEMPT_ID)
         if attempt_id:
-            head[names.ATTEMPT_ID] = attempt_id
+            headers[names.ATTEMPT_ID] = attempt_id
         if self.state.model:
-            head[names.WEIGHTS] = str(self.state.version)
-        return head
+            headers[names.WEIGHTS] = str(self.state.version)
+        return headers
 
     def _notice_headers(self) -> dict[str, str]:
-        """Return what stands in the heads of all its answers."""
-        head = {}
+        """Return the headers that all responses of the server carry."""
+        headers = {}
         if self.limit_per_second is not None:
-            head[names.RATE_LIMIT] = str(self.limit_per_second)
+            headers[names.RATE_LIMIT] = str(self.limit_per_second)
         if self.announces_leaving:
-            head[names.LEAVING] = "1"
-        return head
+            headers[names.LEAVING] = "1"
+        return headers
 
     def _reject(self, request: web.Request, status: int) -> web.Response:
-        head = self._head(request) | {names.NOT_RUN: "1"}
-        return web.Response(status=status, headers=head)
+        headers = self._response_headers(request) | {names.NOT_RUN: "1"}
+        return web.Response(status=status, headers=headers)
 
     def _reject_with_backoff(
         self, request: web.Request, backoff_seconds: float
@@ -267,10 +270,10 @@
     def _check(self, request: web.Request) -> web.Response | None:
         headers = request.headers
         if headers.get(names.EXPECTED_TARGET, self.name) != self.name:
-            return web.Response(status=421, headers=self._head(request))
+            return web.Response(status=421, headers=self._response_headers(request))
         expected = headers.get(names.EXPECTED_WEIGHTS)
         if expected is not None and int(expected) != self.state.version:
-            return web.Response(status=421, headers=self._head(request))
+            return web.Response(status=421, headers=self._response_headers(request))
         if names.ATTEMPT_ID not in headers:
             return self._reject(request, 400)
         if self.backoff_seconds is not None:
@@ -283,7 +286,7 @@
         self.n_health_checks += 1
         await self._server.gate(request)
         status = 503 if self.is_leaving else 200
-        return web.Response(status=status, headers=self._head(request))
+        return web.Response(status=status, headers=self._response_headers(request))
 
     async def _report(self, request: web.Request) -> web.StreamResponse:
         state = self.state
@@ -361,32 +364,32 @@
         self, request: web.Request, body: bytes, fault: ServerFault | None
     ) -> web.StreamResponse:
         await asyncio.sleep(self._run_seconds)
-        head = self._head(request)
+        headers = self._response_headers(request)
         text = answer_text(request.raw_path, body)
         if not isinstance(fault, Unsealed):
-            head[names.SEAL] = seal_of(text)
+            headers[names.SEAL] = seal_of(text)
         match fault:
             case LostAnswer():
                 self._server.cut_connection(request)
             case ServerFailure(status=status):
-                return web.Response(status=status, headers=head, body=text)
+                return web.Response(status=status, headers=headers, body=text)
             case Truncated():
-                response = web.StreamResponse(headers=head)
+                response = web.StreamResponse(headers=headers)
                 response.content_length = len(text)
                 await response.prepare(request)
                 await response.write(text[: len(text) // 2])
                 self._server.cut_connection(request)
                 return response
             case Encoded():
-                head["Content-Encoding"] = "gzip"
+                headers["Content-Encoding"] = "gzip"
             case ExtraAnswer():
-                return await self._answer_twice(request, head, text)
-        return web.Response(headers=head, body=text)
+                return await self._answer_twice(request, headers, text)
+        return web.Response(headers=headers, body=text)
 
     async def _answer_twice(
-        self, request: web.Request, head: dict[str, str], text: bytes
+        self, request: web.Request, headers: dict[str, str], text: bytes
     ) -> web.StreamResponse:
-        response = web.Response(headers=head, body=text)
+        response = web.Response(headers=headers, body=text)
         await response.prepare(request)
         await response.write_eof()
         if request.transport is not None:
@@ -399,11 +402,11 @@
         self, request: web.Request, body: bytes, fault: ServerFault | None
     ) -> web.StreamResponse:
         work = self._engine_request(request)
-        head = self._head(request) | {
+        headers = self._response_headers(request) | {
             names.SEAL: seal_of(body),
             "Content-Type": "text/event-stream",
         }
-        response = web.StreamResponse(headers=head)
+        response = web.StreamResponse(headers=headers)
         response.enable_chunked_encoding()
         start = int(request.headers.get(names.LAST_EVENT, 0)) + 1
         try:
@@ -427,7 +430,7 @@
         body: bytes,
         fault: ServerFault | None,
     ) -> bool:
-        """Send one event; False when a fault ended the stream."""
+        """Send one event; return False if a fault ended the stream."""
         event = event_bytes(number, body)
         match fault:
             case Truncated(after_events=n) if number > n:
@@ -463,16 +466,16 @@
 
 
 def answer_text(path: str, body: bytes) -> bytes:
-    """Return a plain service's answer: a function of what it was asked."""
+    """Return the response body of a plain service, a function of path and body."""
     return b"%016x " % hash_bytes(path.encode() + b"\n" + body) * 20
 
 
 def event_bytes(number: int, body: bytes) -> bytes:
-    """Return one event of a stream: a function of its request and number."""
+    """Return one event of a stream, a function of the request body and the number."""
     word = hash_bytes(body, number)
     return b"id: %d\ndata: %016x\n\n" % (number, word)
 
 
 def seal_of(text: bytes) -> str:
-    """Return the seal of an answer."""
+    """Return the seal of a response."""
     return f"{hash_bytes(text):x}"
--- a/lycheepost/platform/models/storestandin.py
+++ b/lycheepost/platform/models/storestandin.py
@@ -1,4 +1,4 @@
-"""The platform's store as a stand-in: ``standin.rowstore`` behind its protocol."""
+"""Stand-in for the platform's store: serves ``standin.rowstore`` by its protocol."""
 
 import asyncio
 import time
@@ -36,19 +36,19 @@
 
     @property
     def url(self) -> str:
-        """Return the base address."""
+        """Return the base URL."""
         return self._server.url
 
     async def start(self) -> str:
-        """Listen and return the base address."""
+        """Listen and return the base URL."""
         return await self._server.start()
 
     async def stop(self) -> None:
-        """Cut all connections and stop."""
+        """Close all connections and stop."""
         await self._server.stop()
 
     def freeze(self) -> None:
-        """Let open connections go silent for good; new ones work."""
+        """Stop responding on open connections for good; new connections work."""
         self._server.freeze_connections()
 
     def _make_app(self) -> web.Application:
--- a/lycheepost/platform/orders.py
+++ b/lycheepost/platform/orders.py
@@ -1,7 +1,7 @@
-"""Reports of the platform's servers and orders to them.
+"""Reads reports of the platform's servers and sends them weights orders.
 
-Each call uses a connection of its own: an order on a kept connection that has died
-would leave open whether it arrived.
+Each call uses a new connection: if a keep-alive connection has died, it is unknown
+whether an order that was sent on it arrived.
 """
 
 from collections.abc import Callable
@@ -27,10 +27,10 @@
 from lycheepost.utils.decoding import UNREADABLE
 
 CALL_TIMEOUT_SECONDS = 0.6
-"""A server answers a report or takes an order in milliseconds; one that hangs must
-not hold up the others."""
+"""A server responds to a report or an order in milliseconds; one that hangs must not
+delay the others."""
 CONNECT_TIMEOUT_SECONDS = 0.3
-"""A connection takes a few milliseconds; half of the call is left for the answer."""
+"""Connecting takes a few milliseconds; half of the call is left for the response."""
 
 _MODES = {
     RunsMeanwhile.FINISH_FIRST: "block",
@@ -46,7 +46,6 @@
     MISDIRECTED_STATUS: OrderAnswer.OTHER_TARGET,
 }
 
-
 OnNotice = Callable[[ListedTarget, TargetNotice], None]
 
 _log = structlog.get_logger(part="orders")
@@ -58,9 +57,10 @@
 
 
 class _WireReport(msgspec.Struct):
-    """``seq`` counts accepted orders, ``active`` and ``queued`` requests.
+    """A server's report.
 
-    ``born`` is the Unix millisecond of the server's start, where it states one.
+    ``seq`` counts accepted orders; ``active`` and ``queued`` count requests. ``born``
+    is the Unix time of the server's start in milliseconds, if the server states it.
     """
 
     models: list[_WireModel]
@@ -74,7 +74,7 @@
 
 
 class _WireOrder(msgspec.Struct):
-    """``expected`` is the count of accepted orders that the server must have."""
+    """An order; the server accepts it if its count of orders is ``expected``."""
 
     op: str
     model: str
@@ -89,7 +89,7 @@
     """Implements ``targets.weightsport.WeightsPort``.
 
     Args:
-        on_notice: Told of what each answer says of its server, beside the body.
+        on_notice: Called with the notice in the headers of each response.
     """
 
     def __init__(self, on_notice: OnNotice) -> None:
@@ -102,7 +102,7 @@
         self._session = make_call_session(CALL_TIMEOUT_SECONDS, CONNECT_TIMEOUT_SECONDS)
 
     async def drain(self) -> None:
-        """Do nothing: the duty ends first."""
+        """Do nothing: the duty that sends orders has ended."""
 
     async def stop(self) -> None:
         """Close the session."""
@@ -112,7 +112,7 @@
     async def read_report(
         self, target: ListedTarget
     ) -> Result[TargetReport, TargetError]:
-        """Return what a server says of itself."""
+        """Return a server's report."""
         answer = await self._call("GET", target, "/report", None)
         return answer.bind(_decode_report)
 
@@ -134,11 +134,11 @@
         return answer.bind(_decode_order_answer)
 
     async def is_answering(self, target: ListedTarget, path: str) -> bool:
-        """Ask whether a server still answers under its id.
+        """Return whether a server still responds under its id.
 
         Args:
             target: The server.
-            path: Where it tells its health.
+            path: Path of its health check.
         """
         if self._session is None:
             return False
@@ -150,7 +150,7 @@
                 return self._note_answer(target, response)
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             _log.info(
-                "orders: target not found",
+                "orders: health check failed",
                 target=target.target,
                 reason=type(error).__name__,
             )
@@ -159,7 +159,7 @@
     def _note_answer(
         self, target: ListedTarget, response: aiohttp.ClientResponse
     ) -> bool:
-        """Pass on what an answer says of its server; False when it is another's."""
+        """Report the notice in a response; return False if another server sent it."""
         named = response.headers.get(names.TARGET)
         if named is not None and named != target.target:
             return False
@@ -172,7 +172,7 @@
         self, method: str, target: ListedTarget, path: str, body: bytes | None
     ) -> Result[tuple[int, bytes], TargetError]:
         if self._session is None:
-            raise RuntimeError("the session is not open")
+            raise RuntimeError("the HTTP session is not open")
         headers: dict[str, str] = {names.EXPECTED_TARGET: target.target}
         if body is not None:
             headers["Content-Type"] = "application/json"
@@ -185,17 +185,17 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return Failure(TargetUnreachable(f"no connection: {error}"))
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            return Failure(TargetLost(f"no answer: {type(error).__name__}"))
+            return Failure(TargetLost(f"no response: {type(error).__name__}"))
 
 
 def _decode_report(answer: tuple[int, bytes]) -> Result[TargetReport, TargetError]:
     status, body = answer
     if status != 200:
-        return Failure(TargetError(f"the report has status {status}"))
+        return Failure(TargetError(f"the report was answered with status {status}"))
     try:
         wire = msgspec.json.decode(body, type=_WireReport)
     except UNREADABLE as error:
-        return Failure(TargetError(f"the report cannot be read: {error}"))
+        return Failure(TargetError(f"the report cannot be decoded: {error}"))
     return Success(
         TargetReport(
             weights={
@@ -219,5 +219,5 @@
     status, _body = answer
     found = _ANSWERS.get(status)
     if found is None:
-        return Failure(TargetLost(f"the order was answered with {status}"))
+        return Failure(TargetLost(f"the order was answered with status {status}"))
     return Success(found)
--- a/lycheepost/platform/registrations.py
+++ b/lycheepost/platform/registrations.py
@@ -1,7 +1,7 @@
-"""What servers write of themselves into the store, decoded into our records.
+"""Decodes the entries that servers register in the platform's store.
 
-Others may write there too. An entry that lacks a field, holds one of another type, or
-states what the platform does not name, is another writer's and names no target.
+Other programs may write there too. An entry that lacks a field, has a field of another
+type or has a value that the platform does not define is rejected.
 """
 
 import ipaddress
@@ -27,24 +27,24 @@
 
 _LEAVING_BY_STATE = {"ready": False, "draining": True}
 _MAX_SLOTS = 1_000_000
-"""More requests at once than any one process serves."""
+"""Above the number of concurrent requests that one process can serve."""
 
 _Count = Annotated[int, msgspec.Meta(ge=0)]
 _Slots = Annotated[int, msgspec.Meta(ge=1, le=_MAX_SLOTS)]
 
 
 class _WireServerModel(msgspec.Struct):
-    """``version`` is that of the weights."""
+    """A served model; ``version`` is the version of its weights."""
 
     name: str
     version: _Count
 
 
 class _WireServer(msgspec.Struct):
-    """A server's own entry; its ``version`` is that of its software, not weights.
+    """A server's entry; ``version`` is the version of its software, not of weights.
 
-    ``seq`` counts its writes, and ``born`` is the Unix millisecond of its start. Not
-    all deployments state the latter.
+    ``seq`` counts its writes. ``born`` is the Unix time of its start in milliseconds,
+    which not all deployments state.
     """
 
     service: str
@@ -61,23 +61,23 @@
 
 @dataclass(frozen=True)
 class EntryError(DocumentError):
-    """A server's entry that names no target."""
+    """A server's entry that cannot be decoded or is invalid."""
 
 
 def decode_server(name: str, data: bytes) -> Result[ListedTarget, EntryError]:
     """Return the target that a server's entry describes.
 
     Args:
-        name: The entry's key: the server's id, which it may have in several starts.
+        name: The entry's key: the server's id, which it may keep across restarts.
         data: The entry.
     """
     try:
         wire = msgspec.json.decode(data, type=_WireServer)
     except UNREADABLE as error:
-        return Failure(EntryError(f"the entry cannot be read: {error}"))
+        return Failure(EntryError(f"the entry cannot be decoded: {error}"))
     is_leaving = _LEAVING_BY_STATE.get(wire.state)
     if is_leaving is None:
-        return Failure(EntryError(f"the state {wire.state[:40]!r} is not known"))
+        return Failure(EntryError(f"unknown state {wire.state[:40]!r}"))
     if not _is_address(wire.address):
         return Failure(EntryError(f"{wire.address[:40]!r} is not IP:PORT"))
     return Success(
--- a/lycheepost/platform/sessions.py
+++ b/lycheepost/platform/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of the adapter's own calls to servers and to the store."""
+"""HTTP sessions for the adapter's own calls to servers and to the store."""
 
 import aiohttp
 
@@ -8,12 +8,13 @@
     connect_timeout_seconds: float,
     keepalive_seconds: float | None = None,
 ) -> aiohttp.ClientSession:
-    """Return a session whose calls end in time.
+    """Return a session whose calls time out.
 
     Args:
-        call_timeout_seconds: Longest time of a call.
-        connect_timeout_seconds: Longest time until it is connected.
-        keepalive_seconds: How long idle connections are kept; None to keep none.
+        call_timeout_seconds: Maximum duration of a call.
+        connect_timeout_seconds: Maximum time to connect.
+        keepalive_seconds: How long idle connections are kept open; None to close each
+            connection after its call.
     """
     if keepalive_seconds is None:
         connector = aiohttp.TCPConnector(limit=0, force_close=True)
--- a/lycheepost/platform/settings.py
+++ b/lycheepost/platform/settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings file, decoded once into what it says of this process.
+"""Decodes the platform's settings file for one process.
 
-Lines of the form ``a.b=value``. New fields may come and are ignored; of the known
-ones every fault is reported at once.
+The file has lines of the form ``a.b=value``. Unknown fields are ignored; all faults of
+known fields are reported together.
 """
 
 import math
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class SettingsError(LycheepostError):
-    """A settings file that cannot be used.
+    """A settings file that cannot be read or is invalid.
 
     Attributes:
         faults: One sentence for each fault.
@@ -45,20 +45,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the platform's rules allow.
+    """Limits that the platform sets.
 
     Attributes:
-        revoke_seconds: After this a key that was taken away runs nothing.
-        is_revoke_strict: Also on machines that are cut off.
-        drain_seconds: After this a leaving target gets nothing new.
-        grace_seconds: From SIGTERM to SIGKILL.
-        lease_seconds: Two holders' orders to one target lie at least so far apart.
-        retry_share: Repeats that the fleet may send, as a share of requests.
-        retry_burst: Repeats that the fleet may send beyond that.
-        retry_window_seconds: In any span of this length.
-        weights_seconds: After this no request may begin on older weights.
-        address_seconds: Longest time that clients keep an addresses answer.
-        quota_tolerance: How far the fleet may go beyond a customer's quota.
+        revoke_seconds: Time after which a revoked key runs no request.
+        is_revoke_strict: Whether that also holds on VMs that are cut off.
+        drain_seconds: Time after which a leaving target gets no new request.
+        grace_seconds: Time from SIGTERM to SIGKILL.
+        lease_seconds: Minimum time between orders of two holders to one target.
+        retry_share: Retries that the fleet may send, as a share of requests.
+        retry_burst: Retries that the fleet may send beyond that share.
+        retry_window_seconds: Length of any window in which retries are counted.
+        weights_seconds: Time after which no request may begin on older weights.
+        address_seconds: Maximum time that clients cache a response of the directory.
+        quota_tolerance: How far the fleet may exceed a customer's quota.
     """
 
     revoke_seconds: float
@@ -76,15 +76,15 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What the platform tells one process.
+    """The platform's settings for one process.
 
     Attributes:
-        clients: Where clients are served.
-        readiness: Where the platform asks whether this process is ready.
-        directory: Where clients ask for addresses.
-        peer_ports: First and last port free for the daemons' own traffic.
+        clients: Where to listen for clients' requests.
+        readiness: Where to listen for the platform's readiness checks.
+        directory: Where to listen for lookups of addresses.
+        peer_ports: First and last port available for traffic between daemons.
         store: Address of the platform's store.
-        capacity: What this VM can carry.
+        capacity: Processor cores and bandwidth of this VM.
     """
 
     daemon: DaemonId
@@ -101,7 +101,7 @@
 
 
 class _Reader:
-    """Reads typed fields and collects every fault."""
+    """Reads typed fields and collects all faults."""
 
     def __init__(self, values: dict[str, str]) -> None:
         self._values = values
@@ -137,7 +137,7 @@
         return Endpoint(host, port or 0)
 
     def listening_endpoint(self, name: str) -> Endpoint | None:
-        """Return where to listen; port 0 takes a free one."""
+        """Return where to listen; port 0 selects a free port."""
         if not self._values.get(name):
             return None
         host, _, port = self.text(name).rpartition(":")
@@ -156,7 +156,7 @@
 
 
 def parse_port(text: str) -> int | None:
-    """Return the port that a text states; None when it is none."""
+    """Return the port number in ``text``; None when it is not a valid one."""
     is_number = text.isascii() and text.isdigit()
     return int(text) if is_number and 0 < int(text) <= MAX_PORT else None
 
@@ -168,7 +168,7 @@
 
 
 def decode_settings(text: str) -> Result[NodeSettings, SettingsError]:
-    """Return what a settings file says, or all its faults."""
+    """Return the settings, or an error that lists all faults."""
     reader = _Reader(split_lines(text))
     settings = NodeSettings(
         daemon=DaemonId(reader.text("node_name")),
@@ -194,7 +194,7 @@
 
 
 def _decode_bounds(reader: _Reader) -> Bounds:
-    """Return the bounds; one that is missing is as the platform's pages give it."""
+    """Return the bounds; missing ones get the platform's documented defaults."""
     return Bounds(
         revoke_seconds=reader.number("bounds.revoke_ms", 5000) / _MILLISECONDS,
         is_revoke_strict=reader.text("bounds.strict_revoke", "true") == "true",
@@ -215,12 +215,12 @@
 
 
 def settings_path() -> pathlib.Path:
-    """Return where the platform says that the settings file is."""
+    """Return the path of the settings file, from the environment."""
     return pathlib.Path(os.environ.get(SETTINGS_VARIABLE, ""))
 
 
 def read_node_settings(path: pathlib.Path) -> Result[NodeSettings, SettingsError]:
-    """Return what the file at ``path`` says, or all its faults."""
+    """Return the settings in a file, or an error that lists all faults."""
     try:
         text = path.read_text()
     except OSError as error:
--- a/lycheepost/platform/store.py
+++ b/lycheepost/platform/store.py
@@ -1,8 +1,7 @@
-"""The one client of the platform's store.
+"""Client of the platform's store; implements the table port and the feed port.
 
-Implements the table port and the feed port. A call that was not answered may have
-taken effect, or may yet: only where no byte was sent, or where the store said so,
-is a write known not to have been done.
+A call without a response may have taken effect or may still do so. A write is known not
+to have been applied only if no byte was sent or if the store says so.
 """
 
 from dataclasses import dataclass
@@ -44,45 +43,45 @@
 from lycheepost.utils.decoding import UNREADABLE
 
 OWN_TABLE = "lycheepost"
-"""All rows of this system."""
+"""The table that holds all rows of lycheepost."""
 
 CONNECT_TIMEOUT_SECONDS = 0.5
-"""A connection takes a few milliseconds, also between availability zones."""
+"""Connecting takes a few milliseconds, also between availability zones."""
 
 CALL_TIMEOUT_SECONDS = 1.0
-"""A read or a transaction takes some milliseconds, by the platform's protocol; a
-store that is a hundred times slower is away for what this system asks of it."""
+"""By the platform's protocol a read or a transaction takes some milliseconds; a store
+that is a hundred times slower is treated as unavailable."""
 
 KEEPALIVE_SECONDS = 15.0
-"""Connections are used every second or two; one that died is noticed by its call."""
+"""Connections are used every second or two; a call notices a dead one."""
 
 LONG_POLL_MARGIN_SECONDS = 0.7
-"""Beyond the time a question is held; later the connection counts as dead."""
+"""Added to the duration of a long poll; after that the connection counts as dead."""
 
 _PAGE_ROWS = 500
-"""Most rows of one answer, by the platform's protocol."""
+"""Maximum rows of one response, by the platform's protocol."""
 
 _T = TypeVar("_T")
 
 
 @dataclass(frozen=True, slots=True)
 class _Answer:
-    """A status and a body."""
+    """Status and body of a response."""
 
     status: int
     body: bytes
 
 
 class StoreClient:
-    """Calls to the store.
+    """Client of the store.
 
     Args:
-        address: Where the store is.
+        address: Address of the store.
 
     Attributes:
-        base: Base address of the store.
-        n_calls: Calls made, also refused ones.
-        calls: The same by kind, for the log.
+        base: Base URL of the store.
+        n_calls: Calls made, including refused ones.
+        calls: The calls by kind, for the log.
     """
 
     def __init__(self, address: Endpoint) -> None:
@@ -98,7 +97,7 @@
         )
 
     async def drain(self) -> None:
-        """Do nothing: others still use it while they drain."""
+        """Do nothing: other components use the client while they drain."""
 
     async def stop(self) -> None:
         """Close all connections."""
@@ -148,7 +147,7 @@
         raise AssertionError("a result is a success or a failure")
 
     async def commit(self, transaction: Transaction) -> Result[Committed, TableError]:
-        """Apply a transaction whole, or not at all."""
+        """Apply a transaction atomically."""
         self.calls.note(commit_kind(transaction))
         body = msgspec.json.encode(_encode_transaction(transaction))
         answer = await self._call("POST", "/rows-tx", {}, CALL_TIMEOUT_SECONDS, body)
@@ -163,8 +162,8 @@
     async def read_table(self, table: str) -> Result[Changes, TableError]:
         """Return every row of ``table``.
 
-        The version is the first page's: what changed while later pages were read
-        is then told again as a change.
+        The version is that of the first page, so that rows which changed while later
+        pages were read are reported again as changes.
         """
         changes: Changes | None = None
         query: dict[str, str] = {}
@@ -186,7 +185,7 @@
     async def wait_changes(
         self, table: str, after: int, wait_seconds: float
     ) -> Result[Changes, TableError]:
-        """Return the changes after a version, as soon as there are some."""
+        """Return the changes after a version as soon as there are any (a long poll)."""
         query = {
             "table": table,
             "after": str(after),
@@ -237,7 +236,7 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return Failure(TableUnavailable(f"no connection to the store: {error}"))
         except TimeoutError:
-            return Failure(OutcomeUnknown("the store did not answer in time"))
+            return Failure(OutcomeUnknown("the store did not respond in time"))
         except (aiohttp.ClientError, OSError) as error:
             reason = f"the connection to the store broke: {type(error).__name__}"
             return Failure(OutcomeUnknown(reason))
@@ -263,25 +262,25 @@
 
 
 def _decode(answer: _Answer, kind: type[_T]) -> Result[_T, TableError]:
-    """Return the body of a good answer, or what the status says of the call."""
+    """Return the decoded body of a success, or the error for another status."""
     match answer.status:
         case 200:
             pass
         case 410:
-            return Failure(HistoryGone("the store no longer keeps that history"))
+            return Failure(HistoryGone("the store no longer keeps these changes"))
         case 412:
             return Failure(_decode_conflict(answer.body))
         case 429:
-            return Failure(TableThrottled("the store is over its rate"))
+            return Failure(TableThrottled("the store throttles calls (429)"))
         case 503:
-            return Failure(TableUnavailable("the store takes no calls"))
+            return Failure(TableUnavailable("the store is unavailable (503)"))
         case status:
-            return Failure(TableError(f"the store answered {status}"))
+            return Failure(TableError(f"the store responded with status {status}"))
     try:
         return Success(msgspec.json.decode(answer.body, type=kind))
     except UNREADABLE as error:
-        # A success that cannot be read: a write may well have been done.
-        return Failure(OutcomeUnknown(f"the store's answer cannot be read: {error}"))
+        # The status is a success, so a write may have been applied.
+        return Failure(OutcomeUnknown(f"the response cannot be decoded: {error}"))
 
 
 def _decode_conflict(body: bytes) -> TableConflict:
@@ -289,4 +288,4 @@
         rows = msgspec.json.decode(body, type=WireRows).rows
     except UNREADABLE:
         rows = []
-    return TableConflict("a row has moved", tuple(row.key for row in rows))
+    return TableConflict("a row has changed", tuple(row.key for row in rows))
--- a/lycheepost/platform/storecalls.py
+++ b/lycheepost/platform/storecalls.py
@@ -1,4 +1,4 @@
-"""Count the calls to the platform's store by what they were made for."""
+"""Counts calls to the platform's store by purpose."""
 
 from collections import Counter
 
@@ -7,14 +7,13 @@
 from lycheepost.ports.table import Transaction
 
 LOG_INTERVAL_SECONDS = 5.0
-"""Between two lines on the calls of a process: one line in five seconds, and none where
-no call was made."""
+"""Minimum time between two log lines on the calls of a process."""
 
 _log = structlog.get_logger(part="store")
 
 
 class StoreCallCounts:
-    """Calls since the last line, by kind."""
+    """Calls since the last log line, by kind."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
@@ -25,7 +24,7 @@
         self._counts[kind] += 1
 
     def log_if_due(self, now_seconds: float) -> None:
-        """Write a line if one is due."""
+        """Log the counts if there are any and the interval has passed."""
         if (
             not self._counts
             or now_seconds < self._logged_seconds + LOG_INTERVAL_SECONDS
@@ -42,16 +41,16 @@
 
 
 def feed_kind(table: str) -> str:
-    """Return the kind of a question for changes."""
+    """Return the kind of a poll for changes."""
     return f"feed {table}"
 
 
 def commit_kind(transaction: Transaction) -> str:
-    """Return the kind of a transaction, by its first row."""
+    """Return the kind of a transaction, taken from its first row."""
     key = transaction.writes[0].key if transaction.writes else ""
     return f"commit {_subject(key)}".rstrip()
 
 
 def _subject(key: str) -> str:
-    """Return what rows with this key are about, without whose they are."""
+    """Return the first segment of a key, which names the type of the row."""
     return key.partition("/")[0]
--- a/lycheepost/platform/storewire.py
+++ b/lycheepost/platform/storewire.py
@@ -1,4 +1,4 @@
-"""Bodies of the calls to the platform's store."""
+"""Request and response bodies of the platform's store."""
 
 import binascii
 from base64 import b64decode, b64encode
@@ -13,7 +13,7 @@
 
 
 class WireRow(msgspec.Struct, omit_defaults=True):
-    """A row in an answer; ``ver`` counts transactions of the whole store."""
+    """A row in a response; ``ver`` counts transactions of the entire store."""
 
     key: str
     table: str = ""
@@ -23,30 +23,30 @@
     deleted: bool = False
 
     def to_row(self) -> Row:
-        """Return it as a row of the table port."""
+        """Return the row as a record of the table port."""
         return Row(self.key, self._bytes(), self.ver)
 
     def to_change(self) -> ChangedRow:
-        """Return it as a change."""
+        """Return the row as a record of the feed port."""
         return ChangedRow(self.key, None if self.deleted else self._bytes())
 
     def _bytes(self) -> bytes:
-        """Return the value; empty when it cannot be read.
+        """Return the decoded value; empty when it is not base64.
 
-        Another writer's value must not cost us the rest of the answer. No row of ours
-        and none that we understand is empty, so its reader tells it as unusable.
+        An invalid value of another writer must not discard the rest of the response.
+        No valid row is empty, so the reader of the row reports it as unusable.
         """
         try:
             return b64decode(self.value)
         except (binascii.Error, ValueError) as error:
-            _log.warning("store: value cannot be read", reason=str(error))
+            _log.warning("store: row value cannot be decoded", reason=str(error))
             return b""
 
 
 class WireRows(msgspec.Struct):
-    """An answer about rows.
+    """A response with rows.
 
-    ``ver`` is the store's newest version, not that of a row.
+    ``ver`` is the newest version of the store, not of a row.
     """
 
     rows: list[WireRow] = []
@@ -56,7 +56,7 @@
 
 
 class WireExpected(msgspec.Struct):
-    """A condition; ``ver`` 0 means that there is no such row."""
+    """A condition; ``ver`` 0 requires that the row does not exist."""
 
     table: str
     part: str
@@ -74,7 +74,7 @@
 
 
 class WireRemove(msgspec.Struct):
-    """A row to drop."""
+    """A row to delete."""
 
     table: str
     part: str
@@ -82,7 +82,7 @@
 
 
 class WireTransaction(msgspec.Struct):
-    """Conditions and writes that take effect together or not at all."""
+    """Conditions and writes that are applied atomically."""
 
     expected: list[WireExpected]
     puts: list[WirePut]
@@ -90,11 +90,11 @@
 
 
 class WireCommitted(msgspec.Struct):
-    """Answer to a transaction that took effect."""
+    """Response to a transaction that was applied."""
 
     ver: int
 
 
 def encode_value(value: bytes) -> str:
-    """Return a row's value as it goes into a body."""
+    """Return the value of a row in the encoding of request and response bodies."""
     return b64encode(value).decode()
--- a/lycheepost/platform/unknownheaders.py
+++ b/lycheepost/platform/unknownheaders.py
@@ -1,7 +1,7 @@
-"""Names of answer headers that the adapter doesn't know.
+"""Logs the names of response headers that the adapter does not know.
 
-A signal that the platform has added leaves no other trace: the header goes on to the
-client, and the daemon behaves as before.
+Without the log a signal that the platform has added would go unnoticed: the header is
+forwarded to the client, and the daemon behaves as before.
 """
 
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 from lycheepost.platform import headers as names
 
 MAX_NAMES = 32
-"""A server that makes names up must not fill the log."""
+"""Keeps a server that invents header names from filling the log."""
 
 _KNOWN = names.CONNECTION_ONLY | {
     name.lower()
@@ -43,7 +43,7 @@
         self._seen: set[str] = set()
 
     def note(self, headers: Iterable[str]) -> None:
-        """Take the names of one answer's headers."""
+        """Log the unknown names among the headers of one response."""
         for name in headers:
             lowered = name.lower()
             if lowered in _KNOWN or lowered in self._seen:
@@ -51,4 +51,4 @@
             if len(self._seen) >= MAX_NAMES:
                 return
             self._seen.add(lowered)
-            _log.warning("targets: unknown answer header", name=name)
+            _log.warning("targets: unknown response header", name=name)
--- a/tools/soakfleet.py
+++ b/tools/soakfleet.py
@@ -94,22 +94,22 @@
         super()._record(request, body)
         self.words.arrived_seconds[self.runs[-1].attempt_id] = time.monotonic()
 
-    def _head(self, request: aiohttp.web.Request) -> dict[str, str]:
+    def _response_headers(self, request: aiohttp.web.Request) -> dict[str, str]:
         attempt_id = request.headers.get(names.ATTEMPT_ID)
         if self.announces_leaving and attempt_id in self.words.arrived_seconds:
             self.words.said_leaving.add(attempt_id)
         if self.limit_per_second and attempt_id in self.words.arrived_seconds:
             self.words.said_limit.add(attempt_id)
-        return super()._head(request)
+        return super()._response_headers(request)
 
-    def _turn_away(
+    def _reject_with_backoff(
         self, request: aiohttp.web.Request, backoff_seconds: float
     ) -> aiohttp.web.Response:
         attempt_id = request.headers[names.ATTEMPT_ID]
         now_seconds = time.monotonic()
         self.words.arrived_seconds[attempt_id] = now_seconds
         self.words.pauses.append(Pause(attempt_id, now_seconds, backoff_seconds))
-        return super()._turn_away(request, backoff_seconds)
+        return super()._reject_with_backoff(request, backoff_seconds)
 
 
 @dataclass
