--- a/features/platform/demo.feature
+++ b/features/platform/demo.feature
@@ -6,9 +6,9 @@
     And most requests were served, some by the new weights
 
   Scenario Outline: The audit finds <what>
-    An audit that finds nothing proves nothing unless it can find something.
+    Guards against an audit that passes because it detects no violations at all.
     When the audit is shown <what>
-    Then it tells of "<words>"
+    Then it reports "<words>"
 
     Examples:
       | what                            | words               |
--- a/features/platform/documents.feature
+++ b/features/platform/documents.feature
@@ -2,13 +2,13 @@
 
   Scenario: A configuration becomes routes, groups, keys and stores
     When a configuration with all fields and some new ones is decoded
-    Then its routes, groups, keys and stores are what it says
+    Then its routes, groups, keys and stores match the configuration
 
   Scenario Outline: A <row> that <fault> is told and changes nothing
-    Rows come from other programs, of other releases. One that cannot be read must not
-    take the daemon down, nor be taken for another.
+    Other programs and other releases write these rows. An invalid row must neither crash
+    the daemon nor be decoded as a different document.
     When a <row> that <fault> is decoded
-    Then the decoder tells a fault
+    Then the decoder returns an error
 
     Examples:
       | row           | fault                     |
@@ -34,7 +34,7 @@
       | weights row   | has a version of text     |
 
   Scenario Outline: A server's entry with a start of <start> tells <started>
-    Deployments differ in whether servers state their start.
+    Not all deployments let servers state their start time.
     When a server entry with a start of <start> is decoded
     Then its target started at <started>
 
@@ -44,19 +44,19 @@
       | 1783498657083 | 1783498657083 |
 
   Scenario: Another writer's entries leave the other servers as they are
-    A program that is not a server writes into the servers' table: beside their
-    entries, over one of them, and bytes that are not even text. An answer that holds
-    such a row was not taken at all, so that servers which left went on getting work.
+    Another program adds rows to the servers' table, overwrites an entry and writes bytes
+    that are not text. A response with such a row used to be discarded completely, so that
+    servers which had left still got requests.
     Given the entries of servers a, b and c are followed
-    When one answer tells that b leaves, and holds unusable rows for c and for d
+    When one response reports that b leaves and holds unusable rows for c and d
     Then a may be used
-    And a bounded line tells of each unusable row
-    When c writes a good entry again
+    And unusable rows are logged in a bounded number of bounded lines
+    When c writes a valid entry again
     Then a and c may be used
 
   Scenario: A row of the store whose value cannot be read costs only itself
-    When the store answers with a row that is no base64 between two good ones
-    Then three rows are taken and the middle one is empty
+    When the store responds with a row that is not base64 between two valid ones
+    Then three rows are decoded and the middle one is empty
 
   Scenario Outline: Cache events: <wire> becomes <event>
     When the cache event <wire> is decoded
@@ -69,10 +69,10 @@
       | [9,"-","2:","aa",0,"m0"]       | evicted with 0         |
 
   Scenario Outline: An answer that states weights <text> tells <weights>
-    A server states something that is no number. Its answer is sealed and good; only
-    nothing is learned of its weights.
-    When an answer states weights <text>
-    Then it tells <weights>
+    A server states a value that is not a number. Its response is sealed and valid, but
+    its weights version is unknown.
+    When a response states weights <text>
+    Then the decoded weights version is <weights>
 
     Examples:
       | text | weights |
@@ -87,22 +87,22 @@
     Then both have one digest, and another scope has another
 
   Scenario: All that engines keep is read from one after the other
-    All daemons of a large fleet start again behind links of 10 Mbit/s. Each had all
-    events of its six engines sent at once, a quarter of a megabyte each, again and
-    again as the calls ran out of time, so that no request passed for seconds.
+    All daemons of a large fleet restart behind links of 10 Mbit/s. Each used to read the
+    events of its six engines at once, a quarter of a megabyte each. Calls timed out, were
+    repeated and kept all requests from passing for seconds.
     When a daemon begins to follow 6 engines that keep thousands of events
     Then it reads them one after the other, each once
 
   Scenario: A cache that restarted empty is forgotten
-    An engine loses its cache without a new registration. What is believed of it must
-    go, or its requests would be placed there for nothing.
+    An engine loses its cache without a new registration. Unless its cache estimate is
+    cleared, requests are placed there for a cache that no longer exists.
     Given an engine whose events are followed
-    When it tells two events, then comes back with another epoch
-    Then its belief was cleared between them
+    When it sends an event, restarts with another epoch and sends an event again
+    Then its cache estimate is cleared between the two events
 
   Scenario: A start of an engine is followed from its first event
-    An engine is back under its name and its count of events began anew. Asked for
-    what came after the last event of its earlier start, it would tell nothing.
+    An engine restarts under its name and its event numbers start again. A poll for
+    events after the last number of the earlier start would return nothing.
     Given an engine whose events are followed
-    When the engine starts again under its name and tells one event
-    Then the event counts for its new start, and was asked for from the beginning
+    When the engine restarts under its name and sends one event
+    Then the event is applied to the new start, and was read from the beginning
--- a/features/platform/environment.py
+++ b/features/platform/environment.py
@@ -1,4 +1,4 @@
-"""One event loop and one deployment per scenario; all of it ends afterwards."""
+"""Creates an event loop per scenario and closes its deployment and loop afterwards."""
 
 import asyncio
 import logging
--- a/features/platform/failures.feature
+++ b/features/platform/failures.feature
@@ -1,10 +1,10 @@
 Feature: Servers that fail requests of the platform's clients
-  Real daemons before stand-ins that speak the platform's protocol, on loopback.
+  Real daemons with stand-ins for the platform's store and servers, on loopback.
 
   Scenario Outline: A <what> whose <n> first servers show <fault>: <outcome>
-    What may run again does, elsewhere; what may not is told as it is: "not run"
-    only where no server began it, a broken connection or 502 and 504 where one may
-    have. No answer of another request or half of one may look like the answer.
+    A request that may run again is retried at another server. For others the client gets
+    "not run" only if no server began the request, else 502, 504 or an aborted
+    connection. It never gets another request's response or half of one as complete.
     Given a deployment with 1 daemon
     When the next <n> servers that get a <what> show <fault>
     And a client asks for a <what>
@@ -37,8 +37,8 @@
       | album stream     | 1 | refusal        | answer            | 1    |
 
   Scenario Outline: A <what> that a server took and never answered is not called "not run"
-    The server hangs. The client's time runs out while the request is with it. If
-    the daemon said "not run", the client would order again, and both could run.
+    The server hangs and the client's deadline passes while the request is there. If the
+    daemon said "not run", the client would send the order again, and both could run.
     Given a deployment with 1 daemon
     When the next 9 servers that get a <what> show silence
     And a client waits 400 ms for a <what>
@@ -50,10 +50,10 @@
       | look-up | 504     |
 
   Scenario Outline: The refusal that is <code> tells when to come back
-    A request did not run and its client may try elsewhere. Without a time to wait
-    for, all clients of a fleet in trouble come back in the same moment.
+    A request did not run and its client may retry. Without a Retry-After all clients of
+    an overloaded fleet retry at the same moment.
     When a request that did not run is refused as <code>
-    Then it gets a status of 503 and a time to wait for
+    Then it has status 503 and a Retry-After
 
     Examples:
       | code            |
@@ -64,39 +64,39 @@
       | not_run         |
 
   Scenario: An extra answer goes to nobody
-    A server sends a second answer behind the first. On a kept connection it would
-    be taken for the answer to the next request.
+    A server sends a second response after the first. On a keep-alive connection it would
+    be read as the response to the next request.
     Given a deployment with 1 daemon
     When the next 9 servers that get a look-up show extra answer
     And a client asks 10 times for a look-up
-    Then each time it gets the server's whole answer with its seal
+    Then each time it gets the server's complete response with its seal
 
   Scenario: Connections that went silent are noticed
-    All open connections to the servers stop without a reset; new ones work. A
-    daemon that trusted kept connections would lose every request on them.
+    All open connections to the servers stop responding without a reset; new ones work. A
+    daemon that reuses them without a check loses every request on them.
     Given a deployment with 1 daemon
     When a client asks 10 times for a look-up
-    And all connections to the servers go silent
+    And all connections to the servers stop responding
     And a client asks 10 times for a look-up
-    Then each time it gets the server's whole answer with its seal
+    Then each time it gets the server's complete response with its seal
 
   Scenario: A client that leaves stops its stream at the server
     Given a deployment with 1 daemon
-    When a client leaves in the middle of a long stream
+    When a client disconnects in the middle of a long stream
     Then the server soon runs nothing
 
   Scenario: A server whose address another one took over is left alone
-    The server is gone and its address belongs to a server of another service,
-    which refuses what is meant for the old one. Nothing may run there.
+    A server has left and its address belongs to a server of another service, which
+    refuses requests for the old one. No request may run there.
     Given a deployment with 1 daemon
     When the address of one plain server belongs to a server of another service
     Then 20 look-ups run on the other one
     And the new server ran nothing
 
   Scenario: A stream whose key is taken away in its middle is cut
-    Its server breaks off, and before another one can continue, the key is gone. The
-    daemon once sent the error's head into the open stream: bytes that are no answer.
+    Its server aborts the stream, and the key is revoked before another server continues.
+    The daemon used to write the headers of the error into the open stream.
     Given a deployment with 1 daemon
-    When a resumable stream breaks off just as its key is taken away
+    When a resumable stream breaks off just as its key is revoked
     Then the outcome is cut
-    And what came of it is the beginning of the answer
+    And the client received the beginning of the response
--- a/features/platform/loads.feature
+++ b/features/platform/loads.feature
@@ -1,7 +1,7 @@
 Feature: The load that the platform's servers state
 
   Scenario Outline: A server that writes <written> states <load>
-    Guards against a load that is dropped whole for a figure that is not known.
+    Guards against a load that is ignored because of an additional, unknown figure.
     Then a server that writes "<written>" states <load>
 
     Examples:
--- a/features/platform/notices.feature
+++ b/features/platform/notices.feature
@@ -1,8 +1,8 @@
 Feature: What the platform's servers say of themselves
-  Real daemons before stand-ins that speak the platform's protocol, on loopback.
+  Real daemons with stand-ins for the platform's store and servers, on loopback.
 
   Scenario Outline: A 503 whose Retry-After is <written> asks for <pause>
-    Guards against a pause that is misread and keeps a server away for good, or not at all.
+    Guards against a misread pause that excludes a server for good, or not at all.
     Then a 503 with the Retry-After "<written>" asks for <pause>
 
     Examples:
@@ -15,7 +15,7 @@
       | soon    | no pause |
 
   Scenario Outline: An answer with <header> of a server says that it leaves: <leaves>
-    Guards against a server that is left alone for a word that it didn't say.
+    Guards against excluding a server that did not announce that it leaves.
     Then an answer with "<header>" says that its server leaves: <leaves>
 
     Examples:
@@ -27,7 +27,7 @@
       | Server: 1         | no     |
 
   Scenario Outline: Only a 503 asks for a pause
-    Guards against a server that is left alone for a header of its own answers.
+    Guards against excluding a server for a Retry-After with another status.
     Then an answer with status <status> and a Retry-After asks for no pause
 
     Examples:
@@ -37,14 +37,14 @@
       | 500    |
 
   Scenario: A server whose answers say that it leaves gets no more requests
-    Guards against a daemon that hears of a server's leaving only from the store.
+    Guards against a daemon that learns only from the store that a server leaves.
     Given a deployment with 1 daemon
     When clients ask for look-ups, 30 a second for 4 s, and after 1 s the first server says that it leaves
     Then it gets nothing from 2 s after that
     And every client is served
 
   Scenario: A server that leaves gets nothing after its registration has lapsed and is back
-    Guards against a word that is forgotten with the registration of its server.
+    Guards against a leaving announcement that is lost with the server's registration.
     Given a deployment with 1 daemon
     When clients ask for look-ups, 30 a second for 5 s, and after 1 s the first server says that it leaves
     And its registration is removed 0.5 s after that, and written again 0.5 s later
@@ -52,71 +52,71 @@
     And every client is served
 
   Scenario: A server that leaves gets nothing more while others bring their requests
-    Guards against requests that wait, or are tried again, on a server that leaves.
+    Guards against requests that wait or are retried at a server that leaves.
     Given a deployment with 1 daemon
     When clients ask for streams, 10 a second for 4 s, and after 1 s the first engine says that it leaves
     Then it gets nothing from 2 s after that
     And every client is served
 
   Scenario: A leaving that one daemon hears is known to all
-    Guards against daemons that each send on until a server has told them itself.
+    Guards against daemons that send requests until the server notifies each of them.
     Given a deployment with 3 daemons
-    When the first server says that it leaves and one daemon alone is asked
+    When the first server says that it leaves and only one daemon gets requests
     Then all daemons know that it leaves within 1 s
 
   Scenario: A daemon that starts while a server leaves is told of it
-    Guards against a daemon that begins with a request to a server that leaves.
+    Guards against a new daemon that sends its first request to a server that leaves.
     Given a deployment with 2 daemons
-    When the first server says that it leaves and one daemon alone is asked
+    When the first server says that it leaves and only one daemon gets requests
     And one more daemon starts
     Then all daemons know that it leaves within 2 s
 
   Scenario: A server that leaves is not given new weights
-    Guards against a load of weights that serves nobody.
+    Guards against loading weights that will serve no request.
     Given a deployment with 1 daemon
     When the first engine says that it leaves and a stream is sent to each
-    And version 2 of the weights is named
+    And version 2 of the weights is requested
     Then the other engines soon hold version 2
     And the first engine got no order
 
   Scenario: A server that leaves is not asked for its cache events
-    Guards against calls to a server that nothing is placed on any more.
+    Guards against calls to a server that gets no more requests.
     Given a deployment with 1 daemon
     When the first engine says that it leaves and a stream is sent to each
     Then the daemon follows the cache events of the other engines only
 
   Scenario: A leaving that only the answer to a call says is heard
-    Guards against a word that is read in the answers to clients' requests alone.
+    Guards against reading the announcement only in responses to clients' requests.
     Given a deployment with 1 daemon
     When the first engine says that it leaves
-    And version 2 of the weights is named
+    And version 2 of the weights is requested
     Then all daemons know that it leaves within 3 s
 
   Scenario: A server that asks for a pause gets no more requests in it
-    Guards against a daemon that goes on trying a server which has turned it away.
+    Guards against a daemon that keeps retrying a server which has rejected it.
     Given a deployment with 1 daemon
-    When clients ask for look-ups, 30 a second for 6 s, and after 1 s the first server turns all away for 3 s
+    When clients ask for look-ups, 30 a second for 6 s, and after 1 s the first server rejects all requests for 3 s
     Then at most two requests reach it between half a second after each and the end of that pause
     And every client is served
 
   Scenario: An engine that asks for a pause gets no more requests in it
-    Guards against a prompt that goes back to the engine that caches it.
+    Guards against a prompt that is sent again to the engine that caches it.
     Given a deployment with 1 daemon
-    When clients ask for streams, 10 a second for 6 s, and after 1 s the first engine turns all away for 3 s
+    When clients ask for streams, 10 a second for 6 s, and after 1 s the first engine rejects all requests for 3 s
     Then at most two requests reach it between half a second after each and the end of that pause
     And every client is served
 
   Scenario: A request that was placed before its server asked for a pause goes elsewhere
-    Guards against a burst that was placed in one moment and goes out after the word.
+    Guards against a burst that was placed before the back-off and is sent after it.
     Given a deployment with 1 daemon
     When a look-up is placed, and its server then asks the daemon for a pause
     Then it is served by the other server
 
   Scenario Outline: A server that lost a request <in a pause> is asked for its health <n> times
-    Guards against health checks in the time in which a server wants no request.
+    Guards against health checks while a server has asked for no requests.
     Given a deployment with 1 daemon
     When a server loses a request <in a pause>
-    Then it was asked for its health <n> times
+    Then its health was checked <n> times
 
     Examples:
       | in a pause        | n |
@@ -124,16 +124,16 @@
       | during its pause  | 0 |
 
   Scenario: A server is used again when its pause is over
-    Guards against a server that is left alone for good.
+    Guards against a server that stays excluded after its pause.
     Given a deployment with 1 daemon
-    When clients ask for look-ups, 30 a second for 6 s, and from 1 s to 2 s the first server turns all away for 1 s
+    When clients ask for look-ups, 30 a second for 6 s, and from 1 s to 2 s the first server rejects all requests for 1 s
     Then it serves look-ups again
 
   Scenario: Where all servers ask for a pause, clients are told at once to come back after it
-    Guards against requests that wait for servers which will not take them.
+    Guards against requests that wait for servers which will reject them.
     Given a deployment with 1 daemon
-    When all plain servers turn all away for 5 s
-    And look-ups are sent until both have turned one away
+    When all plain servers reject all requests for 5 s
+    And look-ups are sent until both have rejected one
     And one more look-up is sent
-    Then it is refused within 0.5 s, as not run, and told to come back in 4 s to 8 s
-    And no server was asked for it
+    Then it is refused within 0.5 s, as not run, with a Retry-After of 4 s to 8 s
+    And no server received it
--- a/features/platform/ratelimits.feature
+++ b/features/platform/ratelimits.feature
@@ -1,9 +1,9 @@
 Feature: Limits that the platform's servers name
-  Real daemons before stand-ins that speak the platform's protocol, on loopback.
+  Real daemons with stand-ins for the platform's store and servers, on loopback.
 
   Scenario Outline: A server that writes <written> names <limit>
-    Guards against a figure that is none and would keep all requests away.
-    Then a server that writes "<written>" names <limit>
+    Guards against an invalid value that would keep all requests from the server.
+    Then a rate limit header "<written>" means <limit>
 
     Examples:
       | written | limit                    |
@@ -17,21 +17,21 @@
       |         | no limit                 |
 
   Scenario: Daemons together send a server no more than the limit it names
-    Guards against a limit that no daemon reads: a server in need gets what it always got.
+    Guards against daemons that ignore the limit of an overloaded server.
     Given a deployment with 3 daemons
-    When clients ask all daemons for look-ups, 30 a second for 10 s, and after 1 s the first server names a limit of 4 a second
+    When clients ask all daemons for look-ups, 30 a second for 10 s, and after 1 s the first server states a limit of 4 a second
     Then from 3 s after that it gets at most one and a half times its limit and 5 more in any 4 s
     And all look-ups are served
 
   Scenario: A limit that has ended is soon held to by nobody
-    Guards against daemons that go on sparing a server that is well again.
+    Guards against daemons that still limit a server which no longer states a limit.
     Given a deployment with 3 daemons
-    When clients ask all daemons for look-ups, 30 a second for 9 s, and from 1 s to 4 s the first server names a limit of 1 a second
-    Then no daemon holds to a limit any more
+    When clients ask all daemons for look-ups, 30 a second for 9 s, and from 1 s to 4 s the first server states a limit of 1 a second
+    Then no daemon applies a limit any more
     And all look-ups are served
 
   Scenario: A limit that one daemon hears is known to all
-    Guards against daemons that each send on until a target has told them itself.
+    Guards against daemons that ignore a limit until the target reports it to each.
     Given a deployment with 3 daemons
-    When the first server names a limit of 2 a second and one daemon alone is asked
-    Then all daemons hold to the limit of that server within 1 s
+    When the first server states a limit of 2 a second and only one daemon gets requests
+    Then all daemons apply the limit of that server within 1 s
--- a/features/platform/requests.feature
+++ b/features/platform/requests.feature
@@ -1,12 +1,12 @@
 Feature: Requests of the platform's clients
-  Real daemons before stand-ins that speak the platform's protocol, on loopback.
+  Real daemons with stand-ins for the platform's store and servers, on loopback.
 
   Scenario Outline: A <what> comes back byte for byte, and ran as its client sent it
     Given a deployment with 1 daemon
     When a client asks for a <what>
-    Then it gets the server's whole answer with its seal
+    Then it gets the server's complete response with its seal
     And it ran once, with its method, path, query and body
-    And the server was told its customer and not its key
+    And the server received its customer and not its key
 
     Examples:
       | what            |
@@ -16,8 +16,8 @@
       | album stream    |
 
   Scenario: Headers that only the system may set are not taken from clients
-    A client asks to read under another customer's cache scope, to be somebody else
-    or to reserve memory. None of that may reach a server.
+    A client sends headers to read another customer's cache scope, to impersonate another
+    customer or to reserve memory. None of them may reach a server.
     Given a deployment with 1 daemon
     When a client forges system headers
     Then the server got none of the forged values
@@ -26,7 +26,7 @@
     Given a deployment with 1 daemon
     When both customers send the same prompt
     Then the isolated customer's cache scope is its own
-    And both name the weights that they expect
+    And both requests state the weights version that they expect
 
   Scenario Outline: <what> is answered with <status>
     Given a deployment with 1 daemon
@@ -50,11 +50,11 @@
       | heads above the limit      | 431    |
 
   Scenario Outline: <bytes> on the wire are refused and run nothing
-    A head that two parsers could read in two ways lets a client put a second
-    request into the body of the first, which then runs as somebody else's.
+    If two parsers can read the headers differently, a client can smuggle a second request
+    in the body of the first, which then runs as another customer's.
     Given a deployment with 1 daemon
-    When the raw head <bytes> comes in
-    Then the answer is an error and the connection ends
+    When a raw request with <bytes> arrives
+    Then the response is an error and the connection is closed
     And nothing ran
 
     Examples:
@@ -66,41 +66,41 @@
       | a very long header         |
 
   Scenario: A body that stops coming is given up
-    A client opens requests and sends half of each body. Held for good they would use
-    up the daemon's memory and its connections.
+    A client opens requests and sends half of each body. Without a time-out they would
+    exhaust the daemon's memory and connections.
     Given a deployment with 1 daemon whose clients may be idle for 300 ms
-    When half of a body comes in and no more
+    When half of a body arrives and no more
     Then it gets status 408 without a seal
-    And the connection has ended
+    And the connection is closed
     And nothing ran
 
   Scenario: A daemon without a configuration refuses as not run
-    It has just started, the store does not answer. Clients must go elsewhere or
-    come back; 401 or 404 would send them away for good.
+    The daemon has just started and the store does not respond. Clients must retry here
+    or elsewhere; 401 or 404 would make them give up.
     Given a deployment with 1 daemon and no configuration
     When a client asks for a look-up
     Then it gets status 503 without a seal
-    And it is told when to come back
+    And the response has a Retry-After
     And nothing ran
 
   Scenario: A configuration that cannot be read changes nothing and confirms nothing
-    An operator's row is damaged. The routes in force go on for a while; but keys
-    may have been taken away by what cannot be read, so they are not confirmed.
+    An operator's row is damaged. The active routes stay for a while, but keys are not
+    confirmed, as the damaged configuration may have revoked them.
     Given a deployment with 1 daemon
-    When the configuration is replaced by one that cannot be read
+    When the configuration is replaced by one that cannot be decoded
     And a client asks for a look-up
-    Then it gets the server's whole answer with its seal
+    Then it gets the server's complete response with its seal
     And keys are no longer confirmed
 
   Scenario: A key that was taken away is refused at once
     Given a deployment with 1 daemon
-    When the key of customer one is taken away
+    When the key of customer one is revoked
     Then a look-up with that key soon gets status 401
     And the other customer is still served
 
   Scenario: Keys are refused, not served, by a daemon that cannot confirm them
-    The store refuses one machine for long. Whatever it still served with a key
-    might run after the key was taken away.
+    The store refuses one VM for long. A request that its daemon still served with a key
+    might run after the key was revoked.
     Given a deployment with 1 daemon whose keys must be out of use after 1.6 s
     When the store refuses every call
     Then a look-up soon gets status 503
@@ -118,20 +118,20 @@
     Then 20 look-ups run on the other one
 
   Scenario: A registration that lapsed while the store was away is not a leaving
-    The store was down so long that all entries ran out. The servers live; they
-    write themselves in again soon after. Until then they must be used.
+    The store was down so long that all entries expired. The servers are alive and
+    register again soon after. Until then they must still be used.
     Given a deployment with 1 daemon
-    When the store is away, forgets all servers and comes back
+    When the store is down, loses all server entries and is up again
     Then a look-up is served at once
 
   Scenario: The store forgets its history
     Given a deployment with 1 daemon
-    When the store drops its history and the key of customer one is taken away
+    When the store drops its history and the key of customer one is revoked
     Then a look-up with that key soon gets status 401
 
   Scenario Outline: A request that comes before the first answer of the store <outcome>
-    All daemons start again. Clients that waited for their connections come in some
-    milliseconds before the store has told anything, and were refused at once.
+    All daemons restart. Clients that waited to connect send requests some milliseconds
+    before the store has responded, and used to be refused at once.
     Given a deployment whose store takes <seconds> s for each answer
     When a new daemon gets a request as it starts
     Then it <outcome>
--- a/features/platform/steps/demo_steps.py
+++ b/features/platform/steps/demo_steps.py
@@ -57,7 +57,7 @@
     context.report = report
 
 
-@then('it tells of "{words}"')
+@then('it reports "{words}"')
 def step_tells(context, words):
     found = context.report.violations
     assert len(found) == 1 and words in found[0], found
--- a/features/platform/steps/document_steps.py
+++ b/features/platform/steps/document_steps.py
@@ -90,7 +90,7 @@
     context.found = decode_configuration(json.dumps(CONFIGURATION).encode()).unwrap()
 
 
-@then("its routes, groups, keys and stores are what it says")
+@then("its routes, groups, keys and stores match the configuration")
 def step_check(context):
     found = context.found
     (route,) = found.by_host["a.example"]
@@ -172,7 +172,7 @@
             context.found = decode_weights(data)
 
 
-@then("the decoder tells a fault")
+@then("the decoder returns an error")
 def step_fault(context):
     assert isinstance(context.found, Failure), context.found
     assert context.found.failure().reason
@@ -190,7 +190,7 @@
     assert context.found.started_ms == expected
 
 
-def seen(rows, is_whole=False):
+def make_update(rows, is_whole=False):
     return TableUpdate(rows, is_whole, 1.0, None, False)
 
 
@@ -204,11 +204,11 @@
     targets = TargetList(FakeClock(), on_views, lambda: 10.0)
     context.follower = ServerFollower(targets)
     rows = tuple(ChangedRow(name, make_entry()) for name in "abc")
-    context.follower.take(seen(rows, is_whole=True))
+    context.follower.take(make_update(rows, is_whole=True))
     step_usable(context, "a, b and c")
 
 
-@when("one answer tells that b leaves, and holds unusable rows for c and for d")
+@when("one response reports that b leaves and holds unusable rows for c and d")
 def step_unusable(context):
     rows = (
         ChangedRow("c", b"\xff\x00"),
@@ -219,10 +219,10 @@
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(0))
     context.add_cleanup(structlog.configure, wrapper_class=silenced)
     with capture_logs() as context.logs:
-        context.follower.take(seen(rows))
+        context.follower.take(make_update(rows))
         for number in range(2 * MAX_UNUSABLE_LOGGED):
             name = f"x{number}-" + "x" * 2 * MAX_LOGGED_CHARACTERS
-            context.follower.take(seen((ChangedRow(name, b"y" * 5000),)))
+            context.follower.take(make_update((ChangedRow(name, b"y" * 5000),)))
 
 
 @then("{names} may be used")
@@ -231,7 +231,7 @@
     assert found == names.replace(" and ", ", ").split(", "), found
 
 
-@then("a bounded line tells of each unusable row")
+@then("unusable rows are logged in a bounded number of bounded lines")
 def step_bounded(context):
     lines = [line for line in context.logs if "unusable entry" in line["event"]]
     assert [line["target"] for line in lines[:2]] == ["c", "d"]
@@ -240,12 +240,12 @@
     assert all(len(line["reason"]) <= MAX_LOGGED_CHARACTERS for line in lines)
 
 
-@when("c writes a good entry again")
+@when("c writes a valid entry again")
 def step_good_again(context):
-    context.follower.take(seen((ChangedRow("c", make_entry()),)))
+    context.follower.take(make_update((ChangedRow("c", make_entry()),)))
 
 
-@when("the store answers with a row that is no base64 between two good ones")
+@when("the store responds with a row that is not base64 between two valid ones")
 def step_rows(context):
     rows = [
         {"key": "a", "value": encode_value(b"1"), "ver": 1},
@@ -257,12 +257,12 @@
     context.rows = [row.to_change() for row in answer.rows]
 
 
-@then("three rows are taken and the middle one is empty")
+@then("three rows are decoded and the middle one is empty")
 def step_three(context):
     assert [row.value for row in context.rows] == [b"1", b"", b"3"], context.rows
 
 
-@when("an answer states weights {text}")
+@when("a response states weights {text}")
 def step_states(context, text):
     call = ForwardCall(
         TargetId("i-1"), "1.2.3.4:5", RequestId("r"), "GET", "/", (), b"", 1.0,
@@ -272,7 +272,7 @@
     context.found = head.weights_version
 
 
-@then("it tells {weights}")
+@then("the decoded weights version is {weights}")
 def step_tells(context, weights):
     assert context.found == (None if weights == "nothing" else weights)
 
@@ -315,7 +315,7 @@
 
 
 class ScriptedEvents:
-    """Answers with what the scenario says, then holds for good."""
+    """Returns the scripted pages, then blocks."""
 
     def __init__(self, answers):
         self.answers = answers
@@ -328,29 +328,31 @@
 
 @given("an engine whose events are followed")
 def step_followed(context):
-    context.told = []
+    context.applied = []
     event = CacheEvent(sequence=1, kind=CacheEventKind.STORED, digest=5, n_tokens=9)
     context.event = event
     context.port = ScriptedEvents(
         [CacheNews(1, 1, False, (event,)), CacheNews(2, 1, False, (event,))]
     )
-    context.watch = CacheWatch(context.port, lambda _a, got: context.told.append(got))
+    context.watch = CacheWatch(
+        context.port, lambda _a, got: context.applied.append(got)
+    )
 
 
 class CountedEvents:
-    """Counts the whole reads that go on at once."""
+    """Counts concurrent full reads, which start before the first event."""
 
     def __init__(self):
-        self.n_now, self.most, self.whole = 0, 0, []
+        self.n_running, self.max_running, self.full_reads = 0, 0, []
 
     async def read_events(self, address, since):
         if since > 0:
             await asyncio.sleep(3600)
-        self.n_now += 1
-        self.most = max(self.most, self.n_now)
+        self.n_running += 1
+        self.max_running = max(self.max_running, self.n_running)
         await asyncio.sleep(0.01)
-        self.n_now -= 1
-        self.whole.append(address)
+        self.n_running -= 1
+        self.full_reads.append(address)
         return Success(CacheNews(1, 4000, False, ()))
 
 
@@ -364,7 +366,7 @@
         watch.follow(sources)
         await watch.start()
         async with asyncio.timeout(20):
-            while len(context.port.whole) < n:
+            while len(context.port.full_reads) < n:
                 await asyncio.sleep(0.01)
         await watch.stop()
 
@@ -373,33 +375,33 @@
 
 @then("it reads them one after the other, each once")
 def step_reads(context):
-    assert context.port.most == 1
-    assert len(set(context.port.whole)) == len(context.port.whole)
+    assert context.port.max_running == 1
+    assert len(set(context.port.full_reads)) == len(context.port.full_reads)
 
 
-@when("it tells two events, then comes back with another epoch")
+@when("it sends an event, restarts with another epoch and sends an event again")
 def step_epoch(context):
     async def run():
         context.watch.follow([make_source("1.2.3.4:5")])
         await context.watch.start()
         async with asyncio.timeout(10):
-            while len(context.told) < 3:
+            while len(context.applied) < 3:
                 await asyncio.sleep(0.01)
         await context.watch.stop()
 
     context.loop.run_until_complete(run())
 
 
-@then("its belief was cleared between them")
+@then("its cache estimate is cleared between the two events")
 def step_cleared(context):
-    assert context.told == [(context.event,), (CLEARED,), (context.event,)]
+    assert context.applied == [(context.event,), (CLEARED,), (context.event,)]
 
 
-@when("the engine starts again under its name and tells one event")
+@when("the engine restarts under its name and sends one event")
 def step_engine_restarts(context):
-    """The first start's question is still held as the second start is known."""
+    """Report the second start while a poll of the first one is still pending."""
     context.sources = []
-    port = StartedAgain()
+    port = RestartedEngine()
     watch = CacheWatch(port, lambda source, _got: context.sources.append(source))
 
     async def run():
@@ -414,24 +416,24 @@
         await watch.stop()
 
     context.loop.run_until_complete(run())
-    context.asked = port.asked
+    context.polled_since = port.polled_since
 
 
-class StartedAgain:
-    """Tells one event to each whole read and holds every other question."""
+class RestartedEngine:
+    """Returns one event to each read from the beginning and blocks all other reads."""
 
     def __init__(self):
-        self.asked = []
+        self.polled_since = []
 
     async def read_events(self, address, since):
-        self.asked.append(since)
+        self.polled_since.append(since)
         if since > 0:
             await asyncio.sleep(3600)
         event = CacheEvent(sequence=9, kind=CacheEventKind.STORED, digest=5, n_tokens=9)
         return Success(CacheNews(1, 9, False, (event,)))
 
 
-@then("the event counts for its new start, and was asked for from the beginning")
+@then("the event is applied to the new start, and was read from the beginning")
 def step_new_start(context):
     assert [source.incarnation for source in context.sources] == ["boot-1", "boot-2"]
-    assert context.asked.count(0) == 2
+    assert context.polled_since.count(0) == 2
--- a/features/platform/steps/failure_steps.py
+++ b/features/platform/steps/failure_steps.py
@@ -56,7 +56,7 @@
     context.error = getattr(forwarderrors, code)(*given.get(code, ()))
 
 
-@then("it gets a status of 503 and a time to wait for")
+@then("it has status 503 and a Retry-After")
 def step_wait_for(context):
     error = context.error
     assert error.status == 503 and error.executed is Executed.NO
@@ -101,20 +101,20 @@
         context.answers.append(context.answer)
 
 
-@then("each time it gets the server's whole answer with its seal")
+@then("each time it gets the server's complete response with its seal")
 def step_each(context):
     for answer in context.answers:
         context.answer = answer
         step_whole(context)
 
 
-@when("all connections to the servers go silent")
+@when("all connections to the servers stop responding")
 def step_silent(context):
     for server in context.deployment.servers:
         server.freeze()
 
 
-@when("a client leaves in the middle of a long stream")
+@when("a client disconnects in the middle of a long stream")
 def step_leave(context):
     deployment = context.deployment
     for server in deployment.group("llm"):
@@ -165,13 +165,13 @@
     assert context.new.runs == []
 
 
-@when("a resumable stream breaks off just as its key is taken away")
+@when("a resumable stream breaks off just as its key is revoked")
 def step_key_gone(context):
     deployment = context.deployment
-    keeper = deployment.daemons[0].routing
+    routing = deployment.daemons[0].routing
     step_faults(context, 1, "resumable stream", "break")
     for server in deployment.group("llm"):
-        server.on_fault = lambda: keeper.adopt(without_key(keeper.table), "test")
+        server.on_fault = lambda: routing.adopt(without_key(routing.table), "test")
     ask(context, "resumable stream")
 
 
@@ -179,7 +179,7 @@
     return replace(table, version=table.version + 1, key_holders={})
 
 
-@then("what came of it is the beginning of the answer")
+@then("the client received the beginning of the response")
 def step_beginning(context):
     expected = b"".join(event_bytes(n, BODY) for n in range(1, 4))
     assert context.answer.body == expected, context.answer.body
--- a/features/platform/steps/fleet_steps.py
+++ b/features/platform/steps/fleet_steps.py
@@ -38,7 +38,7 @@
     context.loop.run_until_complete(deployment.until(is_named))
 
 
-@when("one daemon is told to stop while a long stream runs through it")
+@when("one daemon is stopped while a long stream runs through it")
 def step_stop(context):
     deployment = context.deployment
     for server in deployment.group("llm"):
@@ -64,11 +64,11 @@
     assert context.loop.run_until_complete(deployment.ready(0)) == 503
     own = str(deployment.nodes[0].clients)
 
-    async def is_gone():
+    async def is_removed():
         addresses = await deployment.addresses(1)
         return addresses and own not in addresses
 
-    context.loop.run_until_complete(deployment.until(is_gone))
+    context.loop.run_until_complete(deployment.until(is_removed))
 
 
 @then("it soon refuses new requests as not run")
@@ -84,7 +84,7 @@
     context.loop.run_until_complete(deployment.until(is_refused))
 
 
-@then("the long stream ends whole before it stops")
+@then("the long stream completes before it stops")
 def step_whole_stream(context):
     answer = context.loop.run_until_complete(context.stream)
     expected = b"".join(event_bytes(n, BODY) for n in range(1, N_LONG + 1))
@@ -92,7 +92,7 @@
     context.loop.run_until_complete(context.drain)
 
 
-@when("both daemons are killed and two start anew")
+@when("both daemons are killed and two new ones start")
 def step_killed(context):
     deployment = context.deployment
 
@@ -123,18 +123,20 @@
     context.deployment.publish_weights(version)
 
 
-@when("version {version:d} of the weights is named")
+@when("version {version:d} of the weights is requested")
 def step_named(context, version):
     publish_weights(context, version)
 
 
-@when("versions 2, 3 and 4 of the weights are named at once")
+@when("versions 2, 3 and 4 of the weights are requested at once")
 def step_named_three(context):
     for version in (2, 3, 4):
         publish_weights(context, version)
 
 
-@when("version {version:d} of the weights is named while order answers are lost")
+@when(
+    "version {version:d} of the weights is requested while responses to orders are lost"
+)
 def step_named_lost(context, version):
     for server in context.deployment.group("llm"):
         server.drops_order_answers = True
@@ -181,10 +183,10 @@
 
 @when("one daemon can no longer reach the store")
 def step_unreached(context):
-    # All daemons of a test share one address; so the client itself is told.
-    context.cut = context.deployment.daemons[0].store
-    context.address = context.cut.base
-    context.cut.base = "http://127.0.0.1:9"
+    # All daemons of a test share one IP address, so the store cannot refuse just one.
+    context.store_client = context.deployment.daemons[0].store
+    context.address = context.store_client.base
+    context.store_client.base = "http://127.0.0.1:9"
 
 
 @then("it soon is not ready, and the other's directory names it no longer")
@@ -200,13 +202,13 @@
 
 @when("it reaches the store again")
 def step_reached(context):
-    context.cut.base = context.address
+    context.store_client.base = context.address
 
 
 DEAD = "127.0.0.1:9"
 
 
-@when("another daemon starts while the row of a dead one lies in the store")
+@when("another daemon starts while the row of a dead one is in the store")
 def step_dead_row(context):
     deployment = context.deployment
     row = MemberRow("zone-a", "127.0.0.1", DEAD, "tcp://127.0.0.1:9", "old")
@@ -215,11 +217,11 @@
     context.loop.run_until_complete(deployment.add_daemon())
 
 
-@then("no directory answer ever names the dead one")
+@then("no directory response ever names the dead one")
 def step_not_named(context):
     deployment = context.deployment
 
-    async def look():
+    async def poll():
         for _ in range(60):
             for index in range(2):
                 assert DEAD not in await deployment.addresses(index)
@@ -227,11 +229,11 @@
         members = deployment.daemons[1].status()["members"]
         assert "front-dead" in members, "the row was not read"
 
-    context.loop.run_until_complete(look())
+    context.loop.run_until_complete(poll())
 
 
 def read_beliefs(context):
-    """Return what each daemon tells of itself, read as the command line does."""
+    """Return each daemon's state, decoded from its status as by the command line."""
     return [
         read_belief(msgspec.json.encode(daemon.status(), enc_hook=str)).unwrap()
         for daemon in context.deployment.daemons
@@ -249,7 +251,7 @@
     context.loop.run_until_complete(context.deployment.until(is_so))
 
 
-@then("what the daemons tell of themselves does not differ")
+@then("the states that the daemons report do not differ")
 def step_alike(context):
     async def is_alike():
         return not find_differences(read_beliefs(context))
@@ -265,7 +267,7 @@
     context.deployment.configure(document)
 
 
-@then("all of them soon have it in force")
+@then("all of them soon use it")
 def step_in_force(context):
     async def is_in_force():
         beliefs = read_beliefs(context)
@@ -284,20 +286,20 @@
     context.loop.run_until_complete(daemon.stop())
 
 
-@then("an answer of the directory is to be kept for {seconds:g} s")
+@then("directory responses are to be cached for {seconds:g} s")
 def step_kept(context, seconds):
     deployment = context.deployment
 
-    async def is_told():
+    async def is_cached_for():
         node = deployment.nodes[0]
         url = f"http://{node.directory}/lookup?name={SITE}&region=r&zone=zone-a"
         async with deployment.session.get(url) as answer:
             return (await answer.json())["ttl_s"] == seconds
 
-    context.loop.run_until_complete(deployment.until(is_told))
+    context.loop.run_until_complete(deployment.until(is_cached_for))
 
 
-@when("{n:d} of them say that they cannot serve for now")
+@when("{n:d} of them report that they cannot serve")
 def step_cannot_serve(context, n):
     for daemon in context.deployment.daemons[-n:]:
         daemon.is_leaving = True
--- a/features/platform/steps/notice_steps.py
+++ b/features/platform/steps/notice_steps.py
@@ -16,7 +16,7 @@
 GRACE_SECONDS = 0.5
 MAX_IN_PAUSE = 2
 N_ALBUMS = 8
-"""Shared parts of prompts: enough that each engine owns some."""
+"""Number of shared prompt parts; with so many each engine caches some."""
 GROUPS = {"look-ups": "plain", "streams": "llm"}
 
 
@@ -41,19 +41,19 @@
 
 
 class Traffic:
-    """Requests at an even rate, and what the first server of their group does.
+    """Sends requests at an even rate and records the first server of their group.
 
     Args:
-        deployment: What is asked.
+        deployment: The deployment that gets the requests.
         what: ``look-ups`` or ``streams``.
-        per_second: How many a second.
-        seconds: For how long.
+        per_second: Requests per second.
+        seconds: Duration of the traffic.
 
     Attributes:
         server: The first server of the group.
-        statuses: What clients got.
-        arrivals: When requests reached the server, from the start of the traffic.
-        changes: What happens when, in seconds from the start, in order.
+        statuses: Statuses that clients received; None for a truncated response.
+        arrivals: Times at which requests reached the server, since the start.
+        changes: Pairs of a time since the start and a function to call then, in order.
     """
 
     def __init__(self, deployment: Deployment, what: str, per_second: int, seconds):
@@ -68,7 +68,7 @@
         self._n_known = 0
 
     async def run(self) -> None:
-        """Ask until the end."""
+        """Send requests until the traffic ends."""
         started = asyncio.get_running_loop().time()
         self.started = started
         tasks = []
@@ -103,14 +103,14 @@
 
 
 def make_traffic(context, what, per_second, seconds):
-    """Return traffic whose results the later steps check."""
+    """Return traffic whose results later steps check."""
     context.traffic = Traffic(context.deployment, what, per_second, seconds)
     context.pending = True
     return context.traffic
 
 
 def play(context):
-    """Run the traffic that was prepared, once."""
+    """Run the prepared traffic, once."""
     if context.pending:
         context.pending = False
         context.loop.run_until_complete(context.traffic.run())
@@ -162,7 +162,7 @@
 
 @when(
     "clients ask for {what}, {per_second:d} a second for {seconds:d} s, and after"
-    " {after_seconds:g} s the first {kind} turns all away for {pause_seconds:g} s"
+    " {after_seconds:g} s the first {kind} rejects all requests for {pause_seconds:g} s"
 )
 def step_ask_pause(
     context, what, per_second, seconds, after_seconds, kind, pause_seconds
@@ -174,7 +174,7 @@
 
 @when(
     "clients ask for {what}, {per_second:d} a second for {seconds:d} s, and from"
-    " {from_seconds:g} s to {to_seconds:g} s the first server turns all away for"
+    " {from_seconds:g} s to {to_seconds:g} s the first server rejects all requests for"
     " {pause_seconds:g} s"
 )
 def step_ask_short_pause(
@@ -188,7 +188,7 @@
 def prepare_pause(
     context, what, per_second, seconds, from_seconds, to_seconds, pause_seconds
 ):
-    """Let the first server turn requests away between two moments."""
+    """Let the first server reject requests between two points in time."""
     traffic = make_traffic(context, what, per_second, seconds)
     context.pause_seconds = pause_seconds
     context.to_seconds = to_seconds
@@ -210,7 +210,7 @@
 def step_few(context):
     traffic = play(context)
     asked = [at - traffic.started for at in traffic.server.rejected_seconds]
-    assert asked, "it turned nothing away"
+    assert asked, "the server rejected no request"
     for at in asked:
         since, until = at + GRACE_SECONDS, at + context.pause_seconds
         n = sum(since < arrived <= until for arrived in asked)
@@ -223,7 +223,7 @@
     assert len(traffic.server.runs) > context.n_runs
 
 
-@when("all plain servers turn all away for {pause_seconds:g} s")
+@when("all plain servers reject all requests for {pause_seconds:g} s")
 def step_all_pause(context, pause_seconds):
     for server in context.deployment.group("plain"):
         server.backoff_seconds = pause_seconds
@@ -233,7 +233,7 @@
     return await deployment.ask("GET", "/look/x", deployment.headers("k-one"))
 
 
-@when("look-ups are sent until both have turned one away")
+@when("look-ups are sent until both have rejected one")
 def step_until_both(context):
     servers = context.deployment.group("plain")
 
@@ -254,7 +254,7 @@
 
 
 @then(
-    "it is refused within {within_seconds:g} s, as not run, and told to come back in"
+    "it is refused within {within_seconds:g} s, as not run, with a Retry-After of"
     " {least_seconds:g} s to {most_seconds:g} s"
 )
 def step_refused(context, within_seconds, least_seconds, most_seconds):
@@ -264,24 +264,24 @@
     assert least_seconds <= retry_after_seconds <= most_seconds, retry_after_seconds
 
 
-@then("no server was asked for it")
+@then("no server received it")
 def step_none_asked(context):
     servers = context.deployment.group("plain")
     assert [len(server.rejected_seconds) for server in servers] == context.n_before
 
 
-@when("the first server says that it leaves and one daemon alone is asked")
-def step_one_hears(context):
+@when("the first server says that it leaves and only one daemon gets requests")
+def step_one_knows(context):
     deployment = context.deployment
     server = deployment.group("plain")[0]
     server.announces_leaving = True
     context.leaving = [server.name]
 
-    async def is_heard():
+    async def is_known():
         await ask_look_up(deployment)
         return leaving_of(deployment.daemons[0]) == context.leaving
 
-    context.loop.run_until_complete(deployment.until(is_heard))
+    context.loop.run_until_complete(deployment.until(is_known))
 
 
 @when("one more daemon starts")
@@ -313,17 +313,17 @@
 
 
 @when("the first engine says that it leaves and a stream is sent to each")
-def step_engine_leaves_heard(context):
+def step_engine_leaves_known(context):
     step_engine_leaves(context)
     deployment = context.deployment
     numbers = itertools.count()
 
-    async def is_heard():
+    async def is_known():
         headers = deployment.prompt_headers("k-one", parts=f"{next(numbers):x}:150")
         await deployment.ask("POST", "/title/x", headers)
         return leaving_of(deployment.daemons[0]) == context.leaving
 
-    context.loop.run_until_complete(deployment.until(is_heard))
+    context.loop.run_until_complete(deployment.until(is_known))
 
 
 @then("the other engines soon hold version {version:d}")
@@ -349,14 +349,14 @@
     admit = traffic.dispatcher.admit
     context.placed = []
 
-    async def admit_and_hear(work):
+    async def admit_then_back_off(work):
         outcome = await admit(work)
         listed = traffic.targets.get(outcome.target)
         traffic.notices.note_call(listed, TargetNotice(retry_after_seconds=3.0))
         context.placed.append(outcome.target)
         return outcome
 
-    traffic.dispatcher.admit = admit_and_hear
+    traffic.dispatcher.admit = admit_then_back_off
     context.answer = context.loop.run_until_complete(ask_look_up(context.deployment))
 
 
@@ -397,6 +397,6 @@
     assert context.loop.run_until_complete(ask_start())
 
 
-@then("it was asked for its health {n:d} times")
+@then("its health was checked {n:d} times")
 def step_health_checks(context, n):
     assert context.server.n_health_checks == n, context.server.n_health_checks
--- a/features/platform/steps/quota_steps.py
+++ b/features/platform/steps/quota_steps.py
@@ -86,11 +86,11 @@
         ask(context, "album stream", **{names.TOKENS: f"{n - 6},6"})
         if context.answer.status != 200:
             return
-    raise AssertionError("none was refused")
+    raise AssertionError("no request was refused")
 
 
-@then("it is told to come back when tokens will have come")
-def step_told(context):
+@then("its Retry-After is above 0 s and below 3 s")
+def step_retry_after(context):
     context.wait_seconds = float(context.answer.headers[names.RETRY_AFTER])
     assert 0.0 < context.wait_seconds < 3.0, context.wait_seconds
 
@@ -101,15 +101,15 @@
     assert not deployment.runs(deployment.attempt_id)
 
 
-@then("the metrics tell what is left of its quota")
+@then("the metrics count its refused requests")
 def step_metrics(context):
     daemon = context.deployment.daemons[0]
 
-    async def is_told():
+    async def is_counted():
         text = daemon._components.traffic.front._deps.metrics.text()
         return f"quota_refused.{FIRST}".encode() in text
 
-    context.loop.run_until_complete(context.deployment.until(is_told))
+    context.loop.run_until_complete(context.deployment.until(is_counted))
 
 
 @when("a client of the other customer asks for a {what}")
@@ -117,7 +117,7 @@
     ask(context, what, key="k-two")
 
 
-@when("the first client comes back when told")
+@when("the first client retries after that time")
 def step_back(context):
     context.loop.run_until_complete(asyncio.sleep(context.wait_seconds + 0.05))
     ask(context, "album stream")
@@ -128,7 +128,7 @@
     deployment = context.deployment
     for server in deployment.group("llm"):
         deployment.store.store.put("servers", server.name, None)
-    # Long enough for the daemon to follow; the steps below fail if it has not.
+    # Time for the daemon to read the change; without it the steps below fail.
     context.loop.run_until_complete(asyncio.sleep(0.5))
     context.statuses = []
     for _ in range(n):
@@ -164,11 +164,12 @@
     context.loop.run_until_complete(ask_all())
 
 
-@then("together they let through what one quota allows")
+@then("together they admit what one quota allows")
 def step_allowed(context):
     elapsed_seconds = context.ended_seconds - context.began_seconds
     allowed = context.rate * (elapsed_seconds + 1.0)
-    # One request may overdraw the quota, and each daemon hears of the other's late.
+    # One request may overdraw the quota, and each daemon learns of the other's
+    # requests with a delay.
     margin = 0.2 * context.rate
     assert context.n_refused > 0
     assert 0.7 * allowed <= context.n_units <= allowed + margin, (
--- a/features/platform/steps/ratelimit_steps.py
+++ b/features/platform/steps/ratelimit_steps.py
@@ -22,12 +22,12 @@
 TOLERATED_REQUESTS = 5
 
 
-@then('a server that writes "{written}" names {limit}')
+@then('a rate limit header "{written}" means {limit}')
 def step_decoded(context, written, limit):
     assert parse_non_negative(written) == LIMITS[limit], parse_non_negative(written)
 
 
-@then('a server that writes "" names {limit}')
+@then('a rate limit header "" means {limit}')
 def step_nothing(context, limit):
     assert parse_non_negative("") == LIMITS[limit]
 
@@ -41,19 +41,19 @@
 async def ask_steadily(
     deployment, per_second, seconds, limit_seconds, limit, end_seconds=math.inf
 ):
-    """Ask at an even rate.
+    """Send requests at an even rate.
 
     Args:
-        deployment: What is asked.
-        per_second: Look-ups a second.
-        seconds: For how long.
-        limit_seconds: When the first server begins to name its limit.
+        deployment: The deployment that gets the requests.
+        per_second: Look-ups per second.
+        seconds: Duration of the traffic.
+        limit_seconds: When the first server starts to state its limit.
         limit: The limit in requests a second.
-        end_seconds: When it stops naming it.
+        end_seconds: When it stops stating it.
 
     Returns:
-        Statuses, and the times at which the first server had got another request, from
-        the moment at which it named its limit.
+        Statuses, and the times at which the first server got requests, relative to the
+        start of its limit.
     """
     server = deployment.group(PLAIN)[0]
     loop = asyncio.get_running_loop()
@@ -74,7 +74,7 @@
 
 @when(
     "clients ask all daemons for look-ups, {per_second:d} a second for {seconds:d} s,"
-    " and after {limit_seconds:g} s the first server names a limit of {limit:g}"
+    " and after {limit_seconds:g} s the first server states a limit of {limit:g}"
     " a second"
 )
 def step_ask(context, per_second, seconds, limit_seconds, limit):
@@ -104,7 +104,7 @@
 
 @when(
     "clients ask all daemons for look-ups, {per_second:d} a second for {seconds:d} s,"
-    " and from {limit_seconds:g} s to {end_seconds:g} s the first server names a limit"
+    " and from {limit_seconds:g} s to {end_seconds:g} s the first server states a limit"
     " of {limit:g} a second"
 )
 def step_ask_ended(context, per_second, seconds, limit_seconds, end_seconds, limit):
@@ -115,7 +115,7 @@
     )
 
 
-@then("no daemon holds to a limit any more")
+@then("no daemon applies a limit any more")
 def step_forgotten(context):
     limits = [
         daemon.status()["notices"]["limits"] for daemon in context.deployment.daemons
@@ -124,7 +124,8 @@
 
 
 @when(
-    "the first server names a limit of {limit:g} a second and one daemon alone is asked"
+    "the first server states a limit of {limit:g} a second and only one daemon gets"
+    " requests"
 )
 def step_one_asked(context, limit):
     deployment = context.deployment
@@ -132,14 +133,14 @@
     server.limit_per_second = limit
     context.limits = {server.name: limit}
 
-    async def is_heard():
+    async def is_known():
         await look_up(deployment, 0, [])
         return deployment.daemons[0].status()["notices"]["limits"] == context.limits
 
-    context.loop.run_until_complete(deployment.until(is_heard))
+    context.loop.run_until_complete(deployment.until(is_known))
 
 
-@then("all daemons hold to the limit of that server within 1 s")
+@then("all daemons apply the limit of that server within 1 s")
 def step_all_hold(context):
     async def all_hold():
         found = [
--- a/features/platform/steps/request_steps.py
+++ b/features/platform/steps/request_steps.py
@@ -75,7 +75,7 @@
     ask(context, what)
 
 
-@then("it gets the server's whole answer with its seal")
+@then("it gets the server's complete response with its seal")
 def step_whole(context):
     method, path, body = REQUESTS[context.what]
     answer = context.answer
@@ -96,7 +96,7 @@
     assert (runs[0].method, runs[0].path, runs[0].body) == REQUESTS[context.what]
 
 
-@then("the server was told its customer and not its key")
+@then("the server received its customer and not its key")
 def step_customer(context):
     run = context.deployment.runs()[-1]
     assert run.headers[names.CUSTOMER.lower()] == KEYS["k-one"]
@@ -135,7 +135,7 @@
     assert KEYS["k-two"] in scopes[1] and KEYS["k-two"] not in scopes[0]
 
 
-@then("both name the weights that they expect")
+@then("both requests state the weights version that they expect")
 def step_weights(context):
     for run in context.deployment.runs():
         assert run.headers[names.EXPECTED_WEIGHTS.lower()] == "1"
@@ -170,7 +170,7 @@
         case "a part without tokens":
             path, headers = "/title/1", deployment.prompt_headers(parts="aa")
         case "heads above the limit":
-            # Each is short enough by itself; operators bound them all together.
+            # Each header is short enough by itself; the limit is on their sum.
             headers |= {f"X-Own-{n}": "a" * 4000 for n in range(5)}
         case "a path with a fragment":
             context.raw = send_raw(context, b"GET /look/1#x HTTP/1.1\r\n")
@@ -190,13 +190,13 @@
     limits = {"idle_timeout_ms": ms}
     deployment.configure(make_configuration(version=2) | {"limits": limits})
 
-    async def is_taken():
+    async def is_applied():
         return deployment.daemons[0].routing.table.version == 2
 
-    context.loop.run_until_complete(deployment.until(is_taken))
+    context.loop.run_until_complete(deployment.until(is_applied))
 
 
-@when("half of a body comes in and no more")
+@when("half of a body arrives and no more")
 def step_half_body(context):
     context.answer = None
     context.raw = send_raw(
@@ -208,16 +208,16 @@
     )
 
 
-@then("the connection has ended")
+@then("the connection is closed")
 def step_ended(context):
     assert context.raw.count(b"HTTP/1.1") == 1, context.raw
 
 
 def send_raw(context, start_line, headers=b"", rest=b"", is_closed=True):
-    """Send bytes over a connection of their own and return all that comes.
+    """Send bytes over a new connection and return the response.
 
-    With bytes behind the head the client closes its side, unless told otherwise: the
-    server reads on for a while after a head that it refused.
+    If a body follows the headers, the client half-closes the connection by default: the
+    server continues to read for a while after it has refused a request.
     """
     deployment = context.deployment
 
@@ -243,7 +243,7 @@
     return context.loop.run_until_complete(talk())
 
 
-@when("the raw head {what} comes in")
+@when("a raw request with {what} arrives")
 def step_raw(context, what):
     inner = b"GET /look/2 HTTP/1.1\r\nHost: x\r\n\r\n"
     heads = {
@@ -259,7 +259,7 @@
     context.raw = send_raw(context, b"POST /order/1 HTTP/1.1\r\n", heads[what], rest)
 
 
-@then("the answer is an error and the connection ends")
+@then("the response is an error and the connection is closed")
 def step_raw_error(context):
     assert context.raw.startswith(b"HTTP/1.1 400") or not context.raw, context.raw[:80]
     assert context.raw.count(b"HTTP/1.1") <= 1, context.raw
@@ -274,7 +274,7 @@
     assert names.SEAL not in context.answer.headers
 
 
-@then("it is told when to come back")
+@then("the response has a Retry-After")
 def step_retry_after(context):
     assert float(context.answer.headers[names.RETRY_AFTER]) > 0
 
@@ -284,7 +284,7 @@
     assert context.deployment.runs() == []
 
 
-@when("the configuration is replaced by one that cannot be read")
+@when("the configuration is replaced by one that cannot be decoded")
 def step_unreadable(context):
     deployment = context.deployment
     daemon = deployment.daemons[0]
@@ -292,10 +292,10 @@
     deployment.store.store.put("op", "config", b'{"version": "x"}')
     n_before = daemon.watches[0].n_answers
 
-    async def is_taken():
+    async def is_applied():
         return daemon.watches[0].n_answers > n_before
 
-    context.loop.run_until_complete(deployment.until(is_taken))
+    context.loop.run_until_complete(deployment.until(is_applied))
     context.confirmed = daemon.routing.confirmed_seconds
 
 
@@ -312,7 +312,7 @@
     assert daemon.routing.confirmed_seconds == context.confirmed
 
 
-@when("the key of customer one is taken away")
+@when("the key of customer one is revoked")
 def step_revoke(context):
     context.deployment.configure(make_configuration(5, keys=("k-two",)))
 
@@ -361,7 +361,7 @@
 
 
 def settle(context):
-    """Wait until the daemon has taken what the store told last."""
+    """Wait until the daemon has applied the newest version of the store."""
     deployment = context.deployment
     watch = deployment.daemons[0].watches[1]
 
@@ -380,7 +380,7 @@
     assert (len(first.runs), len(second.runs)) == (0, n), (first.runs, second.runs)
 
 
-@when("the store is away, forgets all servers and comes back")
+@when("the store is down, loses all server entries and is up again")
 def step_lapse(context):
     deployment = context.deployment
     store = deployment.store.store
@@ -405,7 +405,7 @@
     assert ask(context, "look-up").status == 200
 
 
-@when("the store drops its history and the key of customer one is taken away")
+@when("the store drops its history and the key of customer one is revoked")
 def step_history(context):
     store = context.deployment.store.store
     store.put("op", "other", b"{}")
--- a/features/platform/steps/share_steps.py
+++ b/features/platform/steps/share_steps.py
@@ -29,7 +29,7 @@
     context.entry = frozenset(context.names[:n_entry])
 
 
-@when("{burst:d} repeats are divided among them")
+@when("{burst:d} retries are divided among them")
 def step_divide(context, burst):
     context.burst = burst
     bounds = type(BOUNDS)(**{**vars_of(BOUNDS), "retry_burst": burst})
@@ -55,7 +55,7 @@
     assert min(context.bursts[name] for name in context.entry) >= least
 
 
-@given("a count of calls to the store")
+@given("a counter of calls to the store")
 def step_calls(context):
     context.calls = StoreCallCounts()
 
@@ -71,25 +71,25 @@
             context.calls.note(kind)
 
 
-def told(context, now_seconds):
+def logged(context, now_seconds):
     with mock.patch.object(storecalls, "_log") as log:
         context.calls.log_if_due(now_seconds)
     return [call.kwargs["counts"] for call in log.info.call_args_list]
 
 
-@then("one line tells them, and none before 5 s have passed again")
-def step_told(context):
-    assert told(context, 100.0) == [
+@then("one log line lists them, and the next one follows 5 s later at the earliest")
+def step_logged(context):
+    assert logged(context, 100.0) == [
         {"commit lease": 1, "feed servers": 3, "read lycheepost member": 2}
     ]
     context.calls.note("feed op")
-    assert told(context, 104.9) == []
-    assert told(context, 105.0) == [{"feed op": 1}]
+    assert logged(context, 104.9) == []
+    assert logged(context, 105.0) == [{"feed op": 1}]
 
 
-@then("none is told when there were no calls")
+@then("nothing is logged when there were no calls")
 def step_silent(context):
-    assert told(context, 200.0) == []
+    assert logged(context, 200.0) == []
 
 
 @given(
--- a/features/platform/steps/start_steps.py
+++ b/features/platform/steps/start_steps.py
@@ -18,8 +18,8 @@
     start(context, n_daemons=n, states_starts=True)
 
 
-@when("each engine that gets a resumable stream dies of it and is back at once")
-def step_killer(context):
+@when("each engine that gets a resumable stream crashes on it and restarts at once")
+def step_crashing(context):
     context.plan = FaultPlan()
     context.n_planned = 100
     context.plan.add(CrashAndReturn(), context.n_planned)
@@ -27,8 +27,8 @@
         server.faults = context.plan
 
 
-@then("engines died of it {words} and no more")
-def step_died(context, words):
+@then("engines crashed on it {words} and no more")
+def step_crashed(context, words):
     assert words == "twice"
     assert len(context.deployment.runs()) == 2, context.deployment.runs()
 
@@ -41,20 +41,20 @@
     return server
 
 
-@when("one engine starts again")
+@when("one engine restarts")
 def step_restarted(context):
     restart(context)
 
 
-@when("one engine starts again and a late order puts version 1 into it")
-def step_taken_back(context):
+@when("one engine restarts and a late order loads version 1 into it")
+def step_late_order(context):
     server = restart(context)
     server.state.version = 1
     server.state.n_orders = 1
 
 
-@when("clients go on asking for streams")
-def step_go_on(context):
+@when("clients continue to ask for streams")
+def step_continue(context):
     async def pause():
         await asyncio.sleep(0.1)
 
@@ -63,19 +63,22 @@
         context.loop.run_until_complete(pause())
 
 
-@then("its last order named the count of orders of its new start")
+@then("its last order expected the order count of its new start")
 def step_expected(context):
     orders = context.restarted.state.orders
     assert [order["expected"] for order in orders] == [1], orders
 
 
-@when("version {version:d} of the weights is named and an engine dies as it changes")
-def step_dies_changing(context, version):
+@when(
+    "version {version:d} of the weights is requested and an engine restarts while it"
+    " loads them"
+)
+def step_restart_while_loading(context, version):
     server = context.deployment.group("llm")[0]
     server.state.load_seconds = SLOW_LOAD_SECONDS
     publish_weights(context, version)
 
-    async def die():
+    async def restart_while_loading():
         async def is_changing():
             return server.state.is_changing
 
@@ -83,18 +86,18 @@
         server.restart()
         context.deployment.register(server)
 
-    context.loop.run_until_complete(die())
+    context.loop.run_until_complete(restart_while_loading())
 
 
-@then("all daemons soon tell of its new start")
-def step_told(context):
+@then("all daemons soon report its new start")
+def step_reported(context):
     server = context.restarted
 
-    async def is_told():
+    async def is_reported():
         found = {
             daemon.status()["targets"][server.name]["started_ms"]
             for daemon in context.deployment.daemons
         }
         return found == {server.state.started_ms}
 
-    context.loop.run_until_complete(context.deployment.until(is_told))
+    context.loop.run_until_complete(context.deployment.until(is_reported))
--- a/features/platform/steps/store_steps.py
+++ b/features/platform/steps/store_steps.py
@@ -9,20 +9,20 @@
 from lycheepost.standin.rowstore import RowChange, RowStore
 
 
-class MovingStore(RowStore):
-    """A store in which another daemon writes before each answer."""
+class ChangingStore(RowStore):
+    """A store in which another daemon writes a row before each response."""
 
     def rows(self, table):
         self.put(table, "other", b"x")
         return super().rows(table)
 
 
-def start(context, face, n):
+def start(context, standin, n):
     rows = [RowChange(OWN_TABLE, f"r/{number:04}", b"x") for number in range(n)]
-    face.store.apply(rows)
-    context.loop.run_until_complete(face.start())
-    context.closers.append(face.stop)
-    host, _, port = face.url.rpartition("/")[2].rpartition(":")
+    standin.store.apply(rows)
+    context.loop.run_until_complete(standin.start())
+    context.closers.append(standin.stop)
+    host, _, port = standin.url.rpartition("/")[2].rpartition(":")
     context.client = StoreClient(Endpoint(host, int(port)))
     context.loop.run_until_complete(context.client.start())
     context.closers.append(context.client.stop)
@@ -35,10 +35,10 @@
 
 
 @given("a store with {n:d} rows that changes at every call")
-def step_moving(context, n):
-    face = StoreStandin()
-    face.store = MovingStore()
-    start(context, face, n)
+def step_changing(context, n):
+    standin = StoreStandin()
+    standin.store = ChangingStore()
+    start(context, standin, n)
 
 
 @when("the first and the last row are read together with one that is missing")
@@ -54,7 +54,7 @@
     assert missing is None
 
 
-@then("the read fails and says why")
+@then("the read fails and gives the reason")
 def step_fails(context):
     assert isinstance(context.found, Failure), context.found
     assert "moved" in context.found.failure().reason
--- a/features/platform/store.feature
+++ b/features/platform/store.feature
@@ -1,9 +1,9 @@
 Feature: The client of the platform's store
-  Over loopback, before a store that answers with at most 500 rows at a time.
+  Over loopback, with a store that returns at most 500 rows per response.
 
   Scenario: Rows far apart are read together
-    A row that stands behind the first page must not be taken for missing: whoever
-    finds no row goes on as if nothing had been done yet.
+    A row after the first page must not be reported as missing: a reader that finds no
+    row assumes that nothing has been done yet.
     Given a store with 1100 rows
     When the first and the last row are read together with one that is missing
     Then the first two are found and the third is not
@@ -11,4 +11,4 @@
   Scenario: Rows that move between two pages are not read as of one moment
     Given a store with 1100 rows that changes at every call
     When the first and the last row are read together with one that is missing
-    Then the read fails and says why
+    Then the read fails and gives the reason
