--- a/lycheepost/platform/headers.py
+++ b/lycheepost/platform/headers.py
@@ -59,7 +59,7 @@
 """Never forwarded as sent by a client: a client that could set them could read other
 customers' cached prompts, reserve memory or impersonate another customer."""
 
-CONNECTION_ONLY = frozenset(
+HOP_BY_HOP = frozenset(
     {
         "connection",
         "content-length",
@@ -88,7 +88,7 @@
         if name.lower() == "connection"
         for word in value.split(",")
     }
-    dropped = CONNECTION_ONLY | named
+    dropped = HOP_BY_HOP | named
     return tuple(
         (name, value) for name, value in headers if name.lower() not in dropped
     )
--- a/lycheepost/platform/unknownheaders.py
+++ b/lycheepost/platform/unknownheaders.py
@@ -13,7 +13,7 @@
 MAX_NAMES = 32
 """Keeps a server that invents header names from filling the log."""
 
-_KNOWN = names.CONNECTION_ONLY | {
+_KNOWN = names.HOP_BY_HOP | {
     name.lower()
     for name in (
         names.ATTEMPT_ID,
