--- a/lycheepost/platform/ingress.py
+++ b/lycheepost/platform/ingress.py
@@ -167,8 +167,8 @@
         if route_match.route.kind is not RouteKind.NON_IDEMPOTENT:
             await forwarding.run()
             return
-        # A client that disconnects must not cancel a request that may not run twice: it
-        # may already run at a target, and only its result would be lost.
+        # A client that disconnects must not cancel a request that may not run twice:
+        # the target may already run it, and cancelling would only lose the response.
         run = asyncio.create_task(forwarding.run())
         self._runs.add(run)
         run.add_done_callback(self._end_run)
