--- a/features/platform/steps/demo_steps.py
+++ b/features/platform/steps/demo_steps.py
@@ -4,7 +4,7 @@
 
 from lycheepost.app import platformdemo
 from lycheepost.app.platformfleet import Answer, PlatformFleet
-from lycheepost.platform.models.serverface import PlatformServer, ServerRun
+from lycheepost.platform.models.serverstandin import PlatformServer, ServerRun
 
 
 @when("the platform demo runs for {seconds:d} s")
@@ -57,7 +57,7 @@
     context.report = report
 
 
-@then('it tells of "{words}"')
+@then('it reports "{words}"')
 def step_tells(context, words):
     found = context.report.violations
     assert len(found) == 1 and words in found[0], found
--- a/lycheepost/platform/models/storeface.py
+++ b/lycheepost/platform/models/storestandin.py
@@ -1,4 +1,4 @@
-"""The platform's store as a stand-in: ``standin.rowstore`` behind its protocol."""
+"""Stand-in for the platform's store: serves ``standin.rowstore`` by its protocol."""
 
 import asyncio
 import time
@@ -20,7 +20,7 @@
 _PAGE_ROWS = 500
 
 
-class StoreFace:
+class StoreStandin:
     """Serves one row store.
 
     Attributes:
@@ -32,23 +32,23 @@
         self.store = RowStore()
         self.n_calls = 0
         self._server = StandinServer(self._make_app, host, port)
-        self._late: set[asyncio.Task[None]] = set()
+        self._late_writes: set[asyncio.Task[None]] = set()
 
     @property
     def url(self) -> str:
-        """Return the base address."""
+        """Return the base URL."""
         return self._server.url
 
     async def start(self) -> str:
-        """Listen and return the base address."""
+        """Listen and return the base URL."""
         return await self._server.start()
 
     async def stop(self) -> None:
-        """Cut all connections and stop."""
+        """Close all connections and stop."""
         await self._server.stop()
 
     def freeze(self) -> None:
-        """Let open connections go silent for good; new ones work."""
+        """Stop responding on open connections for good; new connections work."""
         self._server.freeze_connections()
 
     def _make_app(self) -> web.Application:
@@ -78,8 +78,8 @@
         wire = msgspec.json.decode(await request.read(), type=WireTransaction)
         if self.store.faults.take("n_late_writes"):
             task = asyncio.create_task(self._apply_late(wire))
-            self._late.add(task)
-            task.add_done_callback(self._late.discard)
+            self._late_writes.add(task)
+            task.add_done_callback(self._late_writes.discard)
             self._server.cut_connection(request)
             return web.Response(status=500)
         answer = self._apply(wire)
--- a/lycheepost/platform/unknownheaders.py
+++ b/lycheepost/platform/unknownheaders.py
@@ -1,7 +1,7 @@
-"""Names of answer headers that the adapter doesn't know.
+"""Logs the names of response headers that the adapter does not know.
 
-A signal that the platform has added leaves no other trace: the header goes on to the
-client, and the daemon behaves as before.
+Without the log a signal that the platform has added would go unnoticed: the header is
+forwarded to the client, and the daemon behaves as before.
 """
 
 from collections.abc import Iterable
@@ -10,10 +10,10 @@
 
 from lycheepost.platform import headers as names
 
-MOST_NAMES = 32
-"""A server that makes names up must not fill the log."""
+MAX_NAMES = 32
+"""Keeps a server that invents header names from filling the log."""
 
-_KNOWN = names.CONNECTION_ONLY | {
+_KNOWN = names.HOP_BY_HOP | {
     name.lower()
     for name in (
         names.ATTEMPT_ID,
@@ -43,12 +43,12 @@
         self._seen: set[str] = set()
 
     def note(self, headers: Iterable[str]) -> None:
-        """Take the names of one answer's headers."""
+        """Log the unknown names among the headers of one response."""
         for name in headers:
             lowered = name.lower()
             if lowered in _KNOWN or lowered in self._seen:
                 continue
-            if len(self._seen) >= MOST_NAMES:
+            if len(self._seen) >= MAX_NAMES:
                 return
             self._seen.add(lowered)
-            _log.warning("targets: unknown answer header", name=name)
+            _log.warning("targets: unknown response header", name=name)
