--- a/features/callers/steps/awaiting_steps.py
+++ b/features/callers/steps/awaiting_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from returns.result import Success
 
-from lycheepost.callers.awaiting import await_head
+from lycheepost.callers.awaiting import await_headers
 
 WAIT_SECONDS = 0.01
 
@@ -45,7 +45,7 @@
     gate = asyncio.Event()
     gives_up = context.what == "gives its target up"
     send = hold_through(context.answer, gate)
-    waiting = asyncio.ensure_future(await_head(send, WAIT_SECONDS, lambda: gives_up))
+    waiting = asyncio.ensure_future(await_headers(send, WAIT_SECONDS, lambda: gives_up))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     if context.what == "leaves":
--- a/features/decide/steps/silence_steps.py
+++ b/features/decide/steps/silence_steps.py
@@ -7,7 +7,7 @@
 
 from features.decide.steps.common import Desk
 from lycheepost.callers.forwardwork import continued_work
-from lycheepost.callers.relaying import read_patiently
+from lycheepost.callers.relaying import read_with_timeout
 from lycheepost.core.ids import TargetGroupId
 from lycheepost.core.routing import GroupShare, Route, RouteKind
 from lycheepost.decide.attempts import Sends
@@ -150,7 +150,7 @@
 
 @when("it is read with a limit on pauses, and {may} be left")
 def step_read(context, may):
-    reading = read_patiently(context.answer, PAUSE_SECONDS, lambda: may == "may")
+    reading = read_with_timeout(context.answer, PAUSE_SECONDS, lambda: may == "may")
     try:
         context.outcome = asyncio.run(reading)
     except TimeoutError:
--- a/lycheepost/app/platformtraffic.py
+++ b/lycheepost/app/platformtraffic.py
@@ -161,12 +161,12 @@
         known_notices, dispatcher, targets, exchange, clock, metrics
     )
     cache_events = CacheEventsClient()
-    kv_copies = KvStoreContents(switched_off)
+    kv_store_contents = KvStoreContents(switched_off)
     caches = CacheFollower(
         cache_events,
         dispatcher,
         targets,
-        kv_copies,
+        kv_store_contents,
         may_follow_engines=Mechanism.CACHE_EVENTS not in switched_off,
     )
     routing = RoutingManager()
@@ -177,11 +177,13 @@
     client = ForwardClient(streams, ServerDialect())
     orders = ServerOrders(notices.note_call)
 
-    def on_head(sent_to: ListedTarget, head: AnswerHead, sent_seconds: float) -> None:
+    def on_answer_headers(
+        sent_to: ListedTarget, head: AnswerHead, sent_seconds: float
+    ) -> None:
         _report_load(loads, clock, sent_to, head)
         notices.note_headers(sent_to, head, sent_seconds)
 
-    async def is_same_start(sent_to: ListedTarget) -> bool:
+    async def is_same_incarnation(sent_to: ListedTarget) -> bool:
         if notices.is_backed_off(sent_to.target):
             # It has asked for a pause, and has responded recently.
             return targets.is_start(sent_to.start)
@@ -195,12 +197,12 @@
         clock=clock,
         metrics=metrics,
         quotas=fleet_quotas,
-        kv_copies=kv_copies,
+        kv_store_contents=kv_store_contents,
         key_rule=lambda: make_key_rule(get_bounds()),
-        is_same_start=is_same_start,
+        is_same_incarnation=is_same_incarnation,
         make_request_id=_request_ids(base.boot),
-        pick_point=base.rng.random,
-        on_head=on_head,
+        draw_split_point=base.rng.random,
+        on_answer_headers=on_answer_headers,
         is_backed_off=notices.is_backed_off,
     )
     return PlatformTraffic(
--- a/lycheepost/app/traffic.py
+++ b/lycheepost/app/traffic.py
@@ -12,7 +12,7 @@
 from lycheepost.app.quotas import QuotaExchange
 from lycheepost.callers.deps import CallerDeps
 from lycheepost.callers.dispatch import Dispatcher
-from lycheepost.callers.routes import CallerFront
+from lycheepost.callers.routes import CallerApi
 from lycheepost.callers.versions import RequestVersions
 from lycheepost.core.clock import Clock
 from lycheepost.core.hashing import hash_bytes
@@ -78,7 +78,7 @@
     control: ControlClient
     observer: TargetObserver
     feed: TargetFeed
-    front: CallerFront
+    front: CallerApi
     drain_state: DrainState
     hot: HotPrefixes
     quotas: QuotaExchange
@@ -196,7 +196,7 @@
         )
 
     hot = HotPrefixes()
-    front = CallerFront(
+    front = CallerApi(
         CallerDeps(
             settings=settings,
             configuration=state.revisions,
--- a/lycheepost/callers/assemble.py
+++ b/lycheepost/callers/assemble.py
@@ -15,12 +15,12 @@
 
 _DONE = b"[DONE]"
 _EVENT_END = b"\n\n"
-_KEPT_FIELDS = ("id", "created", "model", "system_fingerprint")
+_COMMON_FIELDS = ("id", "created", "model", "system_fingerprint")
 
 
 @dataclass
-class _Pieces:
-    head: dict[str, Any] = field(default_factory=dict)
+class _AnswerParts:
+    common_fields: dict[str, Any] = field(default_factory=dict)
     texts: list[str] = field(default_factory=list)
     finish_reason: str | None = None
     usage: dict[str, Any] | None = None
@@ -33,30 +33,30 @@
         endpoint: Tells the form of the answer.
         events: All events up to and with ``[DONE]``.
     """
-    pieces = _Pieces()
+    parts = _AnswerParts()
     for raw in events.split(_EVENT_END):
         data = parse_event(raw).data
         if data and data != _DONE:
-            _add_chunk(pieces, msgspec.json.decode(data))
-    answer = dict(pieces.head)
+            _add_chunk(parts, msgspec.json.decode(data))
+    answer = dict(parts.common_fields)
     answer["object"] = _object_name(endpoint)
-    answer["choices"] = [_make_choice(endpoint, pieces)]
-    if pieces.usage is not None:
-        answer["usage"] = pieces.usage
+    answer["choices"] = [_make_choice(endpoint, parts)]
+    if parts.usage is not None:
+        answer["usage"] = parts.usage
     return msgspec.json.encode(answer)
 
 
-def _add_chunk(pieces: _Pieces, chunk: dict[str, Any]) -> None:
-    for name in _KEPT_FIELDS:
+def _add_chunk(parts: _AnswerParts, chunk: dict[str, Any]) -> None:
+    for name in _COMMON_FIELDS:
         if name in chunk:
-            pieces.head.setdefault(name, chunk[name])
-    pieces.usage = chunk.get("usage") or pieces.usage
+            parts.common_fields.setdefault(name, chunk[name])
+    parts.usage = chunk.get("usage") or parts.usage
     for choice in chunk.get("choices") or ():
         delta = choice.get("delta") or {}
         text = delta.get("content") or choice.get("text")
         if text:
-            pieces.texts.append(text)
-        pieces.finish_reason = choice.get("finish_reason") or pieces.finish_reason
+            parts.texts.append(text)
+        parts.finish_reason = choice.get("finish_reason") or parts.finish_reason
 
 
 def _object_name(endpoint: Endpoint) -> str:
@@ -67,13 +67,13 @@
             return "text_completion"
 
 
-def _make_choice(endpoint: Endpoint, pieces: _Pieces) -> dict[str, Any]:
+def _make_choice(endpoint: Endpoint, parts: _AnswerParts) -> dict[str, Any]:
     choice: dict[str, Any] = {
         "index": 0,
-        "finish_reason": pieces.finish_reason,
+        "finish_reason": parts.finish_reason,
         "logprobs": None,
     }
-    text = "".join(pieces.texts)
+    text = "".join(parts.texts)
     match endpoint:
         case Endpoint.CHAT:
             choice["message"] = {"role": "assistant", "content": text, "refusal": None}
--- a/lycheepost/callers/awaiting.py
+++ b/lycheepost/callers/awaiting.py
@@ -17,15 +17,17 @@
 Sent = Result[ForwardAnswer, TargetError]
 
 
-async def await_head(
-    send: Coroutine[Any, Any, Sent], wait_seconds: float, may_leave: Callable[[], bool]
+async def await_headers(
+    send: Coroutine[Any, Any, Sent],
+    wait_seconds: float,
+    may_abandon: Callable[[], bool],
 ) -> Sent:
     """Return what came of a send.
 
     Args:
         send: The send; it is cancelled when it is not waited for to its end.
-        wait_seconds: How long to wait before ``may_leave`` is asked.
-        may_leave: Whether to give the send up; False to wait once more.
+        wait_seconds: How long to wait before ``may_abandon`` is asked.
+        may_abandon: Whether to give the send up; False to wait once more.
 
     Raises:
         TimeoutError: Nothing came in time, and the send was given up.
@@ -36,7 +38,7 @@
             ended, _ = await asyncio.wait({sending}, timeout=wait_seconds)
             if ended:
                 return sending.result()
-            if may_leave():
+            if may_abandon():
                 raise TimeoutError
     except BaseException:
         sending.cancel()
--- a/lycheepost/callers/dispatch.py
+++ b/lycheepost/callers/dispatch.py
@@ -71,14 +71,14 @@
 
     async def drain(self) -> None:
         """Refuse what still waits; what was dispatched goes on."""
-        self._wake(self._scheduler.drain())
+        self._deliver(self._scheduler.drain())
 
     async def stop(self) -> None:
         """Stop the tick and refuse whoever still waits."""
         if self._ticker is not None:
             self._ticker.cancel()
         for request in list(self._waiting):
-            self._wake([Refuse(request, RefusalReason.SHUTTING_DOWN, None)])
+            self._deliver([Refuse(request, RefusalReason.SHUTTING_DOWN, None)])
 
     def status(self) -> dict[str, object]:
         """Return the scheduler's own account of itself."""
@@ -118,17 +118,17 @@
         future = asyncio.get_running_loop().create_future()
         self._waiting[work.request] = future
         self._has_work.set()
-        self._wake(outcomes)
+        self._deliver(outcomes)
         try:
             outcome: Outcome = await future
             return outcome
         except asyncio.CancelledError:
-            self._give_back(work.request, future)
+            self._release(work.request, future)
             raise
         finally:
             self._waiting.pop(work.request, None)
 
-    def _give_back(self, request: RequestId, future: "asyncio.Future[Outcome]") -> None:
+    def _release(self, request: RequestId, future: "asyncio.Future[Outcome]") -> None:
         was_dispatched = (
             future.done()
             and not future.cancelled()
@@ -137,7 +137,7 @@
         if was_dispatched:
             self.finish(request, FinishKind.CANCELLED)
         else:
-            self._wake(self._scheduler.cancel(request, self._clock.now_seconds()))
+            self._deliver(self._scheduler.cancel(request, self._clock.now_seconds()))
 
     def first_token(self, request: RequestId) -> None:
         """Tell that the first token came; the engine's usage is not known yet."""
@@ -156,7 +156,7 @@
         for loss in self._scheduler.take_losses():
             if self._on_loss is not None:
                 self._on_loss(loss)
-        self._wake(outcomes)
+        self._deliver(outcomes)
 
     def observe_load(self, report: LoadReport) -> None:
         """Pass on a target's load report."""
@@ -176,7 +176,7 @@
     def set_limit(self, target: TargetId, per_second: float | None) -> None:
         """Pass on a target's limit; None once it names none."""
         now_seconds = self._clock.now_seconds()
-        self._wake(self._scheduler.set_limit(target, per_second, now_seconds))
+        self._deliver(self._scheduler.set_limit(target, per_second, now_seconds))
 
     def back_off(self, target: TargetId, until_seconds: float) -> None:
         """Send a target nothing until then; waiting requests go out by the tick."""
@@ -204,7 +204,7 @@
 
     def dispatch_waiting(self) -> None:
         """Send out what waits and has room by what the others told."""
-        self._wake(self._scheduler.dispatch_waiting(self._clock.now_seconds()))
+        self._deliver(self._scheduler.dispatch_waiting(self._clock.now_seconds()))
 
     def under_way(self) -> dict[TargetId, DaemonLoad]:
         """Return what is under way from here, for the peers."""
@@ -213,7 +213,7 @@
     def replace_targets(self, targets: tuple[TargetView, ...]) -> None:
         """Tell which targets there are now and in which state."""
         now_seconds = self._clock.now_seconds()
-        self._wake(self._scheduler.replace_targets(targets, now_seconds))
+        self._deliver(self._scheduler.replace_targets(targets, now_seconds))
 
     def set_shares(self, weights: dict[CustomerId, float]) -> None:
         """Set the customers' weights in fair sharing."""
@@ -245,7 +245,7 @@
         """Call ``callback`` with each target that gets a suspect, at once."""
         self._on_suspect = callback
 
-    def _wake(self, outcomes: list[Outcome]) -> None:
+    def _deliver(self, outcomes: list[Outcome]) -> None:
         if outcomes and self._on_suspect is not None:
             for target in self._scheduler.take_suspect_targets():
                 self._on_suspect(target)
@@ -262,7 +262,7 @@
         while True:
             await self._pause()
             try:
-                self._wake(self._scheduler.tick(self._clock.now_seconds()))
+                self._deliver(self._scheduler.tick(self._clock.now_seconds()))
             except Exception:
                 # A fault in one pass must not stop the queue for everybody.
                 _log.exception("dispatch: the tick failed")
--- a/lycheepost/callers/exchange.py
+++ b/lycheepost/callers/exchange.py
@@ -36,7 +36,7 @@
 from lycheepost.targets.sse import Usage
 from lycheepost.targets.stream import EngineStream
 
-LOST_RETRY_SECONDS = 1.0
+TARGET_LOST_RETRY_SECONDS = 1.0
 """A lost target is seen by all daemons within about a second."""
 _BUSY_STATUSES = (409, 429, 503)
 """The target is at fault or busy, not the request; another target may take it."""
@@ -64,19 +64,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Finished:
+class ExchangeResult:
     """How a job ended.
 
     Attributes:
         ttft_seconds: From arrival to the first bytes.
         token_gap_seconds: Mean time between events; None below two.
-        is_caller_gone: The caller left before the end.
+        has_caller_left: The caller left before the end.
     """
 
     ttft_seconds: float
     token_gap_seconds: float | None
     usage: Usage | None
-    is_caller_gone: bool = False
+    has_caller_left: bool = False
 
 
 class Exchange:
@@ -96,10 +96,10 @@
         self._body = job.body
         self._delivered: Delivered | None = None
         self._first_seconds: float | None = None
-        self._is_after_loss = False
+        self._lost_target = False
         self._boot_id = Incarnation("")
 
-    async def run(self) -> Finished:
+    async def run(self) -> ExchangeResult:
         """Try targets until the answer is whole or no try is left.
 
         Raises:
@@ -112,12 +112,12 @@
         finally:
             self._charge.settle(self.executed)
 
-    async def _try_targets(self) -> Finished:
+    async def _try_targets(self) -> ExchangeResult:
         outcome = await self._deps.dispatcher.admit(self._work)
         while True:
             match outcome:
                 case Refuse():
-                    raise self._fail(from_refusal(outcome, self.executed))
+                    raise self._mark_resend_safety(from_refusal(outcome, self.executed))
                 case Dispatch():
                     finished = await self._try_target(outcome)
             if finished is not None:
@@ -125,7 +125,7 @@
             await self._pause()
             outcome = await self._deps.dispatcher.readmit(self._work)
 
-    async def _try_target(self, dispatch: Dispatch) -> Finished | None:
+    async def _try_target(self, dispatch: Dispatch) -> ExchangeResult | None:
         """Send to one target; None when another try is allowed and due."""
         kind = FinishKind.CANCELLED
         url = target_url(self._deps, dispatch.target)
@@ -144,7 +144,7 @@
                     return finished
                 case Failure(error):
                     kind = await self._finish_kind(dispatch.target, error)
-                    self._judge_failure(dispatch.target, error)
+                    self._handle_failure(dispatch.target, error)
                     return None
             raise AssertionError("a result is a success or a failure")
         except asyncio.CancelledError:
@@ -153,18 +153,18 @@
             raise
         except StreamLost as error:
             kind = await self._finish_kind(dispatch.target, error)
-            self._plan_continuation(dispatch.target, error)
+            self._prepare_continuation(dispatch.target, error)
             return None
         finally:
-            self._is_after_loss = kind is FinishKind.TARGET_LOST
+            self._lost_target = kind is FinishKind.TARGET_LOST
             self._deps.dispatcher.finish(self._work.request, kind)
 
     async def _pause(self) -> None:
         """Wait a moment after a lost target; a refused one is left at once."""
-        if self._is_after_loss:
+        if self._lost_target:
             has_output = self._delivered is not None
             await asyncio.sleep(retry_pause_seconds(has_output, _rng))
-        self._is_after_loss = False
+        self._lost_target = False
 
     def _exclude(self, target: TargetId) -> None:
         self._work = replace(self._work, excluded=self._work.excluded | {target})
@@ -182,14 +182,14 @@
             continues=self._delivered,
         )
 
-    async def _relay(self, stream: EngineStream) -> tuple[Finished, FinishKind]:
+    async def _relay(self, stream: EngineStream) -> tuple[ExchangeResult, FinishKind]:
         first = await stream.read()
         self._note_first()
         try:
             await self._sink.begin(first or b"")
         except (ConnectionError, RuntimeError):
             await stream.cancel()
-            return self._finish(stream, is_caller_gone=True), FinishKind.CANCELLED
+            return self._finish(stream, has_caller_left=True), FinishKind.CANCELLED
         except BaseException:
             await stream.cancel()
             raise
@@ -197,7 +197,7 @@
             case RelayComplete():
                 return self._finish(stream), FinishKind.COMPLETE
             case RelayCallerGone():
-                return self._finish(stream, is_caller_gone=True), FinishKind.CANCELLED
+                return self._finish(stream, has_caller_left=True), FinishKind.CANCELLED
             case RelayLost(error):
                 raise error
 
@@ -206,7 +206,9 @@
         if self._first_seconds is None:
             self._first_seconds = self._deps.clock.now_seconds()
 
-    def _finish(self, stream: EngineStream, is_caller_gone: bool = False) -> Finished:
+    def _finish(
+        self, stream: EngineStream, has_caller_left: bool = False
+    ) -> ExchangeResult:
         now_seconds = self._deps.clock.now_seconds()
         first_seconds = self._first_seconds or now_seconds
         n_gaps = stream.n_events - 1
@@ -215,13 +217,13 @@
             self._deps.dispatcher.note_usage(
                 self._work.request, usage.prompt_tokens, usage.cached_tokens
             )
-        return Finished(
+        return ExchangeResult(
             ttft_seconds=first_seconds - self._work.arrived_seconds,
             token_gap_seconds=(
                 (now_seconds - first_seconds) / n_gaps if n_gaps > 0 else None
             ),
             usage=usage,
-            is_caller_gone=is_caller_gone,
+            has_caller_left=has_caller_left,
         )
 
     async def _finish_kind(self, target: TargetId, error: TargetError) -> FinishKind:
@@ -242,7 +244,7 @@
             return FinishKind.ANSWER_LOST
         return FinishKind.TARGET_LOST
 
-    def _judge_failure(self, target: TargetId, error: TargetError) -> None:
+    def _handle_failure(self, target: TargetId, error: TargetError) -> None:
         """Judge a call that gave no answer.
 
         Raises:
@@ -262,7 +264,7 @@
                 # The target read the request and found it at fault; it would
                 # be at fault everywhere.
                 self.executed = Executed.UNKNOWN
-                raise self._fail(_from_engine_error(error))
+                raise self._mark_resend_safety(_from_engine_error(error))
             case _:
                 # Also a busy target has had the request: "no" is only said of
                 # one that reached no target.
@@ -271,7 +273,7 @@
 
     def _check_repeatable(self) -> None:
         if not self._work.is_idempotent:
-            raise self._fail(
+            raise self._mark_resend_safety(
                 CallerError(
                     "The target was lost; whether it ran the request is not known.",
                     status=502,
@@ -281,7 +283,7 @@
                 )
             )
 
-    def _plan_continuation(self, target: TargetId, error: StreamLost) -> None:
+    def _prepare_continuation(self, target: TargetId, error: StreamLost) -> None:
         """Prepare the rest of a broken answer for another engine.
 
         Raises:
@@ -304,20 +306,20 @@
             text, n_tokens = error.delivered_text, error.n_tokens
             body = continuation_body(self._job.path, self._job.body, text, n_tokens)
         if body is None:
-            raise self._fail(
+            raise self._mark_resend_safety(
                 CallerError(
                     "The target was lost in the middle of the answer.",
                     status=502,
                     type=ErrorType.SERVER,
                     code="answer_broken",
                     executed=Executed.YES,
-                    retry_after_seconds=LOST_RETRY_SECONDS,
+                    retry_after_seconds=TARGET_LOST_RETRY_SECONDS,
                 )
             )
         self._body = body
         self._delivered = Delivered(error.n_events, error.n_tokens, text)
 
-    def _fail(self, error: CallerError) -> CallerError:
+    def _mark_resend_safety(self, error: CallerError) -> CallerError:
         is_safe = (
             self._work.is_idempotent
             or self._job.is_keyed
--- a/lycheepost/callers/flow.py
+++ b/lycheepost/callers/flow.py
@@ -21,7 +21,7 @@
     error_event,
     invalid,
 )
-from lycheepost.callers.exchange import Exchange, Finished, Job
+from lycheepost.callers.exchange import Exchange, ExchangeResult, Job
 from lycheepost.callers.headers import CallerHeaders, read_headers
 from lycheepost.callers.identify import cache_salt, find_model, identify_customer
 from lycheepost.callers.keyed import KeyedRequest, KeyedRunner
@@ -48,11 +48,11 @@
 from lycheepost.report.samples import EndKind, OnceState, Sample
 from lycheepost.state.claim_rows import StoredAnswer
 
-JSON = "application/json"
+JSON_CONTENT_TYPE = "application/json"
 
 
 @dataclass(frozen=True)
-class Asked:
+class CheckedRequest:
     """A completion request after its checks.
 
     Attributes:
@@ -83,25 +83,25 @@
     Raises:
         CallerError: The answer is an error and nothing has been sent yet.
     """
-    asked = await _ask(deps, endpoint, request_id, request)
-    job = _make_job(asked)
+    checked = await _check_request(deps, endpoint, request_id, request)
+    job = _make_job(checked)
     deps.hot.note(
         job.work.model,
-        asked.weights_version,
-        cache_salt(asked.customer),
+        checked.weights_version,
+        cache_salt(checked.customer),
         job.work.levels,
     )
-    if asked.headers.idempotency_key is not None:
-        return await _answer_keyed(deps, keyed, asked, job, request)
-    if asked.call.is_streamed:
-        return await _answer_stream(deps, asked, job, request)
-    stored = await _run_whole(deps, asked, job)
-    return _stored_response(stored, asked.answer_headers)
+    if checked.headers.idempotency_key is not None:
+        return await _answer_keyed(deps, keyed, checked, job, request)
+    if checked.call.is_streamed:
+        return await _answer_stream(deps, checked, job, request)
+    stored = await _run_whole(deps, checked, job)
+    return _stored_response(stored, checked.answer_headers)
 
 
-async def _ask(
+async def _check_request(
     deps: CallerDeps, endpoint: Endpoint, request_id: RequestId, request: web.Request
-) -> Asked:
+) -> CheckedRequest:
     """Identify the caller and check what it asks.
 
     The key is checked before the body is read, so that nobody without a key can
@@ -118,7 +118,7 @@
     weights_version = deps.versions.choose(
         model, CustomerId(customer.customer), call.segments
     )
-    return Asked(
+    return CheckedRequest(
         request_id=request_id,
         customer=customer,
         model=model,
@@ -150,26 +150,26 @@
         raise invalid(reason, "max_tokens")
 
 
-def _make_job(asked: Asked) -> Job:
+def _make_job(checked: CheckedRequest) -> Job:
     """Fingerprint the prompt and write the engine's body."""
-    customer = CustomerId(asked.customer.customer)
-    model = ModelId(asked.model.model)
-    weights_version = asked.weights_version
-    call = asked.call
+    customer = CustomerId(checked.customer.customer)
+    model = ModelId(checked.model.model)
+    weights_version = checked.weights_version
+    call = checked.call
     work = Work(
-        request=asked.request_id,
+        request=checked.request_id,
         customer=customer,
-        target_group=TargetGroupId(asked.model.target_group),
+        target_group=TargetGroupId(checked.model.target_group),
         model=model,
         weights_version=weights_version,
         levels=fingerprint_levels(customer, model, weights_version, call.segments),
         prompt_tokens=_prompt_tokens(call),
         output_tokens=call.max_tokens or DEFAULT_OUTPUT_TOKENS,
-        priority=asked.headers.priority,
-        arrived_seconds=asked.arrived_seconds,
-        first_token_timeout_seconds=asked.headers.first_token_timeout_seconds,
-        fingerprint=fingerprint_body(customer, asked.body),
-        is_idempotent=not asked.headers.is_marked_non_idempotent,
+        priority=checked.headers.priority,
+        arrived_seconds=checked.arrived_seconds,
+        first_token_timeout_seconds=checked.headers.first_token_timeout_seconds,
+        fingerprint=fingerprint_body(customer, checked.body),
+        is_idempotent=not checked.headers.is_marked_non_idempotent,
     )
     # An engine that streams shows at any time whether it still works; only
     # answers that cannot be put together from chunks are asked for whole.
@@ -179,12 +179,12 @@
         path=call.endpoint.value,
         body=engine_body(
             call,
-            cache_salt(asked.customer),
+            cache_salt(checked.customer),
             engine_priority(work.priority),
             expects_stream,
         ),
         is_continuable=call.is_continuable,
-        is_keyed=asked.headers.idempotency_key is not None,
+        is_keyed=checked.headers.idempotency_key is not None,
         expects_stream=expects_stream,
     )
 
@@ -200,20 +200,20 @@
 
 
 async def _answer_stream(
-    deps: CallerDeps, asked: Asked, job: Job, request: web.Request
+    deps: CallerDeps, checked: CheckedRequest, job: Job, request: web.Request
 ) -> web.StreamResponse:
-    sink = LiveSink(request, asked.answer_headers)
+    sink = LiveSink(request, checked.answer_headers)
     exchange = Exchange(deps, job, sink)
     try:
         finished = await exchange.run()
     except CallerError as error:
-        _note_error(deps, asked, error)
-        if not sink.is_begun:
+        _note_error(deps, checked, error)
+        if not sink.has_begun:
             raise
         await _end_broken(sink, error)
         return sink.response
-    _note_finished(deps, asked, finished)
-    if not finished.is_caller_gone:
+    _note_finished(deps, checked, finished)
+    if not finished.has_caller_left:
         await sink.response.write_eof()
     return sink.response
 
@@ -231,59 +231,61 @@
         return
 
 
-async def _run_whole(deps: CallerDeps, asked: Asked, job: Job) -> StoredAnswer:
+async def _run_whole(
+    deps: CallerDeps, checked: CheckedRequest, job: Job
+) -> StoredAnswer:
     """Run to the end and return the answer in the form the caller asked for."""
     sink = BufferSink()
-    return await _run_buffered(deps, asked, job, sink)
+    return await _run_buffered(deps, checked, job, sink)
 
 
 async def _run_buffered(
-    deps: CallerDeps, asked: Asked, job: Job, sink: BufferSink | TeeSink
+    deps: CallerDeps, checked: CheckedRequest, job: Job, sink: BufferSink | TeeSink
 ) -> StoredAnswer:
     exchange = Exchange(deps, job, sink)
     try:
         finished = await exchange.run()
     except CallerError as error:
-        _note_error(deps, asked, error)
+        _note_error(deps, checked, error)
         raise
-    _note_finished(deps, asked, finished)
-    data = sink.whole()
-    if asked.call.is_streamed:
+    _note_finished(deps, checked, finished)
+    data = sink.content()
+    if checked.call.is_streamed:
         return StoredAnswer(200, EVENT_STREAM, data)
     if job.expects_stream:
-        data = assemble_answer(asked.call.endpoint, data)
-    return StoredAnswer(200, JSON, data)
+        data = assemble_answer(checked.call.endpoint, data)
+    return StoredAnswer(200, JSON_CONTENT_TYPE, data)
 
 
 async def _answer_keyed(
     deps: CallerDeps,
     keyed: KeyedRunner,
-    asked: Asked,
+    checked: CheckedRequest,
     job: Job,
     request: web.Request,
 ) -> web.StreamResponse:
-    key = asked.headers.idempotency_key
+    key = checked.headers.idempotency_key
     assert key is not None
     identity = KeyedRequest(
-        job.work.customer, key, job.work.fingerprint, asked.request_id
+        job.work.customer, key, job.work.fingerprint, checked.request_id
     )
-    if not asked.call.is_streamed:
-        run = functools.partial(_run_whole, deps, asked, job)
+    if not checked.call.is_streamed:
+        run = functools.partial(_run_whole, deps, checked, job)
         stored = await keyed.run_once(identity, run)
-        return _stored_response(stored, asked.answer_headers)
-    live = LiveSink(request, asked.answer_headers)
+        return _stored_response(stored, checked.answer_headers)
+    live = LiveSink(request, checked.answer_headers)
     tee = TeeSink(live)
-    run = functools.partial(_run_buffered, deps, asked, job, tee)
+    run = functools.partial(_run_buffered, deps, checked, job, tee)
     try:
         stored = await keyed.run_once(identity, run)
     except CallerError as error:
-        if not live.is_begun:
+        if not live.has_begun:
             raise
         await _end_broken(live, error)
         return live.response
-    if not live.is_begun:
+    if not live.has_begun:
         # A resend: the first send's stream, byte for byte.
-        return _stored_response(stored, asked.answer_headers)
+        return _stored_response(stored, checked.answer_headers)
     await live.response.write_eof()
     return live.response
 
@@ -300,36 +302,38 @@
     )
 
 
-def _note_finished(deps: CallerDeps, asked: Asked, finished: Finished) -> None:
+def _note_finished(
+    deps: CallerDeps, checked: CheckedRequest, finished: ExchangeResult
+) -> None:
     deps.metrics.timing("ttft", finished.ttft_seconds)
     if finished.usage is not None:
         deps.metrics.count("prompt_tokens", finished.usage.prompt_tokens)
         deps.metrics.count("cached_tokens", finished.usage.cached_tokens)
     deps.on_sample(
         Sample(
-            customer=CustomerId(asked.customer.customer),
-            model=ModelId(asked.model.model),
-            end=EndKind.CALLER_LEFT if finished.is_caller_gone else EndKind.SUCCESS,
-            once=_once(asked, is_known=True),
+            customer=CustomerId(checked.customer.customer),
+            model=ModelId(checked.model.model),
+            end=EndKind.CALLER_LEFT if finished.has_caller_left else EndKind.SUCCESS,
+            once=_once(checked, is_known=True),
             ttft_seconds=finished.ttft_seconds,
             mean_gap_seconds=finished.token_gap_seconds,
         )
     )
 
 
-def _note_error(deps: CallerDeps, asked: Asked, error: CallerError) -> None:
+def _note_error(deps: CallerDeps, checked: CheckedRequest, error: CallerError) -> None:
     deps.on_sample(
         Sample(
-            customer=CustomerId(asked.customer.customer),
-            model=ModelId(asked.model.model),
+            customer=CustomerId(checked.customer.customer),
+            model=ModelId(checked.model.model),
             end=end_of(error),
-            once=_once(asked, is_known=error.executed is not Executed.UNKNOWN),
+            once=_once(checked, is_known=error.executed is not Executed.UNKNOWN),
         )
     )
 
 
-def _once(asked: Asked, is_known: bool) -> OnceState:
-    if not asked.headers.is_marked_non_idempotent:
+def _once(checked: CheckedRequest, is_known: bool) -> OnceState:
+    if not checked.headers.is_marked_non_idempotent:
         return OnceState.NOT_ASKED
     return OnceState.KEPT if is_known else OnceState.UNKNOWN
 
--- a/lycheepost/callers/forwardcalls.py
+++ b/lycheepost/callers/forwardcalls.py
@@ -41,12 +41,12 @@
 
 
 def make_charge(
-    deps: ForwardDeps, request: ForwardRequest, way: RouteMatch
+    deps: ForwardDeps, request: ForwardRequest, route_match: RouteMatch
 ) -> QuotaCharge:
     """Return what a request takes from its customer's quota."""
     prompt = request.prompt
     n_tokens = None if prompt is None else prompt.n_tokens + prompt.max_output_tokens
-    customer = way.holder.customer
+    customer = route_match.holder.customer
     quota = route_table(deps).quotas.get(customer)
     return QuotaCharge(deps.quotas, deps.clock, customer, quota, n_tokens)
 
@@ -54,7 +54,7 @@
 def make_call(
     deps: ForwardDeps,
     request: ForwardRequest,
-    way: RouteMatch,
+    route_match: RouteMatch,
     listed: ListedTarget,
     progress: Progress,
 ) -> ForwardCall:
@@ -63,13 +63,13 @@
     Args:
         deps: What forwarding stands on.
         request: The caller's request.
-        way: Its route and sender.
+        route_match: Its route and sender.
         listed: The target.
         progress: What the request has come to.
     """
     engine = None
     if request.prompt is not None:
-        engine = _engine_terms(deps, way, request.prompt, listed)
+        engine = _engine_terms(deps, route_match, request.prompt, listed)
     return ForwardCall(
         target=listed.target,
         address=listed.address,
@@ -79,30 +79,30 @@
         headers=request.headers,
         body=request.body,
         remaining_seconds=progress.remaining_seconds,
-        customer=way.holder.customer,
+        customer=route_match.holder.customer,
         engine=engine,
         after_event=progress.after_event,
-        may_reuse_connection=way.route.is_repeatable,
+        may_reuse_connection=route_match.route.is_repeatable,
     )
 
 
 def _engine_terms(
-    deps: ForwardDeps, way: RouteMatch, prompt: Prompt, listed: ListedTarget
+    deps: ForwardDeps, route_match: RouteMatch, prompt: Prompt, listed: ListedTarget
 ) -> EngineTerms:
     """Return what an engine is told of a prompt: its weights, scope and KV store."""
     version = deps.targets.weights_of(listed.target, prompt.model)
     version = version or WeightsVersion("")
-    scope = make_scope(way.holder, version)
+    scope = make_scope(route_match.holder, version)
     levels = prompt_levels(scope, prompt)
     store = choose_kv_store(route_table(deps), levels)
-    is_sent = bool(store) and deps.kv_copies.should_send(
+    is_sent = bool(store) and deps.kv_store_contents.should_send(
         store, levels, deps.clock.now_seconds()
     )
     return EngineTerms(
         model=prompt.model,
         cache_scope=str(scope),
         weights_version=version,
-        rank=engine_rank(way),
+        rank=engine_rank(route_match),
         fetch_from=store,
         store_to=store if is_sent else "",
     )
--- a/lycheepost/callers/forwarddeps.py
+++ b/lycheepost/callers/forwarddeps.py
@@ -32,7 +32,7 @@
         raw_path: Path and query, byte for byte.
         headers: What may go on to a target.
         key: The caller's key; None when it sent none.
-        first_token_timeout_seconds: How long the caller waits; None when it does not
+        caller_timeout_seconds: How long the caller waits; None when it does not
             say.
         prompt: None when the request says nothing of a prompt.
         after_event: The last event that the caller has of an earlier answer.
@@ -44,7 +44,7 @@
     raw_path: str
     headers: tuple[tuple[str, str], ...]
     key: str | None
-    first_token_timeout_seconds: float | None
+    caller_timeout_seconds: float | None
     prompt: Prompt | None
     after_event: int | None
     body: bytes
@@ -56,7 +56,7 @@
         return self.raw_path.partition("?")[0]
 
 
-class CallerSide(Protocol):
+class CallerConnection(Protocol):
     """The connection to the caller; it gets one answer."""
 
     async def begin(self, head: AnswerHead, length: int | None) -> None:
@@ -79,7 +79,7 @@
         """End the answer as whole."""
         ...
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break the connection, so that the answer cannot be taken for whole."""
         ...
 
@@ -127,13 +127,13 @@
 
     Attributes:
         quotas: What customers may ask of the fleet.
-        kv_copies: What the stores of KV cache are believed to keep.
+        kv_store_contents: What the stores of KV cache are believed to keep.
         key_rule: How long keys may be trusted; read anew for each request.
-        is_same_start: Whether a target still is the start that it was when it was
+        is_same_incarnation: Whether a target still is the start that it was when it was
             sent to.
-        pick_point: Gives a number in [0, 1) to split traffic by.
-        on_head: Told of each answer's head, for what it says of the target, with the
-            target as it was sent to and when that was.
+        draw_split_point: Gives a number in [0, 1) to split traffic by.
+        on_answer_headers: Called with the headers of each response, for what they
+            report of the target, with the target as it was sent to and the time.
         is_backed_off: Whether a target wants no request from this daemon now.
     """
 
@@ -144,10 +144,10 @@
     clock: Clock
     metrics: Metrics
     quotas: FleetQuotas
-    kv_copies: KvStoreContents
+    kv_store_contents: KvStoreContents
     key_rule: Callable[[], KeyTrustRule]
-    is_same_start: Callable[[ListedTarget], Awaitable[bool]]
+    is_same_incarnation: Callable[[ListedTarget], Awaitable[bool]]
     make_request_id: Callable[[], RequestId]
-    pick_point: Callable[[], float]
-    on_head: Callable[[ListedTarget, AnswerHead, float], None]
+    draw_split_point: Callable[[], float]
+    on_answer_headers: Callable[[ListedTarget, AnswerHead, float], None]
     is_backed_off: Callable[[TargetId], bool]
--- a/lycheepost/callers/forwarding.py
+++ b/lycheepost/callers/forwarding.py
@@ -11,7 +11,7 @@
 import structlog
 from returns.result import Failure, Success
 
-from lycheepost.callers.awaiting import await_head
+from lycheepost.callers.awaiting import await_headers
 from lycheepost.callers.errors import CallerError, Executed, from_refusal
 from lycheepost.callers.forwardcalls import (
     Progress,
@@ -19,7 +19,7 @@
     make_charge,
     route_table,
 )
-from lycheepost.callers.forwarddeps import CallerSide, ForwardDeps, ForwardRequest
+from lycheepost.callers.forwarddeps import CallerConnection, ForwardDeps, ForwardRequest
 from lycheepost.callers.forwarderrors import (
     from_route_fault,
     key_unconfirmed,
@@ -30,9 +30,9 @@
 from lycheepost.callers.forwardwork import continued_work, make_work
 from lycheepost.callers.relaying import (
     AnswerRelay,
+    FirstByteTimeout,
     RelayEnd,
-    SilentTarget,
-    StreamPatience,
+    StreamTimeouts,
 )
 from lycheepost.core.ids import TargetId
 from lycheepost.core.routing import ListedTarget, RouteKind
@@ -51,13 +51,13 @@
 from lycheepost.targets.errors import TargetError, TargetUnreachable
 from lycheepost.targets.forward import ForwardAnswer
 
-RETRY_AFTER_SECONDS = 0.2
+NOT_RUN_RETRY_SECONDS = 0.2
 """After this a target that was busy or changing has mostly room again."""
 
 DEADLINE_MARGIN_SECONDS = 0.02
 """The answer that the time is up should reach the caller while it still listens."""
 
-_REJECTION_BYTES = 65536
+_MAX_REJECTION_BYTES = 65536
 """A refusal is a short sentence."""
 
 _FINISH_KINDS = {
@@ -76,12 +76,12 @@
         CallerError: It has none, or its key cannot be trusted now.
     """
     table = route_table(deps)
-    way = match_route(table, request.host, request.path, request.key)
-    if isinstance(way, RouteFault):
-        _check_fresh(deps, way is RouteFault.UNKNOWN_KEY)
-        raise from_route_fault(way)
-    _check_fresh(deps, way.is_keyed)
-    return way
+    route_match = match_route(table, request.host, request.path, request.key)
+    if isinstance(route_match, RouteFault):
+        _check_fresh(deps, route_match is RouteFault.UNKNOWN_KEY)
+        raise from_route_fault(route_match)
+    _check_fresh(deps, route_match.is_keyed)
+    return route_match
 
 
 def _check_fresh(deps: ForwardDeps, needs_key: bool) -> None:
@@ -99,7 +99,7 @@
     Args:
         deps: What forwarding stands on.
         request: The caller's request.
-        way: Its route and sender.
+        route_match: Its route and sender.
         caller: Where the answer goes.
     """
 
@@ -107,26 +107,26 @@
         self,
         deps: ForwardDeps,
         request: ForwardRequest,
-        way: RouteMatch,
-        caller: CallerSide,
+        route_match: RouteMatch,
+        caller: CallerConnection,
     ) -> None:
         self._deps = deps
         self._request = request
-        self._way = way
-        self._relay = AnswerRelay(deps, request, way.route, caller)
-        self._work = make_work(deps, request, way, route_table(deps))
+        self._way = route_match
+        self._relay = AnswerRelay(deps, request, route_match.route, caller)
+        self._work = make_work(deps, request, route_match, route_table(deps))
         self._sends = Sends()
         self._is_sent = False
-        self._has_retry = False
-        self._charge = make_charge(deps, request, way)
-        until = way.route.timeout_seconds
-        if request.first_token_timeout_seconds is not None:
-            until = min(until, request.first_token_timeout_seconds)
-        self._until_seconds = request.arrived_seconds + until
+        self._has_reserved_retry = False
+        self._charge = make_charge(deps, request, route_match)
+        timeout_seconds = route_match.route.timeout_seconds
+        if request.caller_timeout_seconds is not None:
+            timeout_seconds = min(timeout_seconds, request.caller_timeout_seconds)
+        self._deadline_seconds = request.arrived_seconds + timeout_seconds
         self._log = _log.bind(
             request_id=request.caller_id,
-            route=way.route.name,
-            customer=way.holder.customer,
+            route=route_match.route.name,
+            customer=route_match.holder.customer,
         )
 
     @property
@@ -154,7 +154,7 @@
                 has_begun=self._relay.has_begun,
             )
             if self._relay.has_begun:
-                self._relay.cut()
+                self._relay.abort()
                 return
             raise too_late(self.executed) from None
         except CallerError as error:
@@ -170,7 +170,7 @@
             if not self._relay.has_begun:
                 raise
             # An error's head in the middle of a stream would be read as part of it.
-            self._relay.cut()
+            self._relay.abort()
         finally:
             self._charge.settle(self.executed)
 
@@ -179,7 +179,7 @@
         return round(now_seconds - self._request.arrived_seconds, 4)
 
     def _remaining_seconds(self) -> float:
-        return self._until_seconds - self._deps.clock.now_seconds()
+        return self._deadline_seconds - self._deps.clock.now_seconds()
 
     async def _serve(self) -> None:
         self._charge.take()
@@ -187,22 +187,22 @@
         while True:
             match outcome:
                 case Refuse():
-                    await self._end_refused(outcome)
+                    await self._handle_refusal(outcome)
                     return
                 case Dispatch():
                     end = await self._try_target(outcome)
             if end is None:
                 return
-            if not await self._goes_on(end):
+            if not await self._should_continue(end):
                 return
-            is_free = end is AttemptEnd.NOT_SENT or self._has_retry
-            self._has_retry = False
+            is_free = end is AttemptEnd.NOT_SENT or self._has_reserved_retry
+            self._has_reserved_retry = False
             outcome = await self._deps.dispatcher.readmit(self._work, is_free)
 
-    async def _end_refused(self, refusal: Refuse) -> None:
+    async def _handle_refusal(self, refusal: Refuse) -> None:
         """End when the scheduler has no target for it."""
         if self._relay.has_begun:
-            self._relay.cut()
+            self._relay.abort()
             return
         if await self._relay.pass_on_failure():
             return
@@ -210,7 +210,7 @@
             raise outcome_unknown()
         raise from_refusal(refusal, Executed.NO)
 
-    async def _goes_on(self, end: AttemptEnd) -> bool:
+    async def _should_continue(self, end: AttemptEnd) -> bool:
         """Judge a send that did not serve the caller; False when it is over.
 
         Raises:
@@ -233,9 +233,9 @@
             case Step.PASS_ON:
                 await self._relay.pass_on_failure()
             case Step.CUT_OFF:
-                self._relay.cut()
+                self._relay.abort()
             case Step.REFUSE:
-                raise not_run(RETRY_AFTER_SECONDS)
+                raise not_run(NOT_RUN_RETRY_SECONDS)
             case Step.GIVE_UP:
                 if not await self._relay.pass_on_failure():
                     raise outcome_unknown()
@@ -300,7 +300,7 @@
         self._is_sent = True
         try:
             send = self._deps.client.send(call)
-            sent = await await_head(send, wait_seconds, self._may_leave)
+            sent = await await_headers(send, wait_seconds, self._may_abandon)
         except TimeoutError:
             self._deps.targets.note_end(target, Ending.BAD)
             return AttemptEnd.LOST, "silent"
@@ -313,12 +313,12 @@
                 self._deps.targets.note_end(target, Ending.BAD)
                 return AttemptEnd.LOST, reason
             case Success(answer):
-                return await self._take_answer(
+                return await self._handle_answer(
                     listed, answer, wait_seconds, sent_seconds
                 )
         raise AssertionError("a result is a success or a failure")
 
-    def _may_leave(self) -> bool:
+    def _may_abandon(self) -> bool:
         """Reserve a try at another target before a silent one is given up."""
         lost = AttemptEnd.CUT if self._relay.has_begun else AttemptEnd.LOST
         step = next_step(
@@ -328,10 +328,10 @@
             return False
         if self._relay.has_begun and not self._relay.can_continue:
             return False
-        self._has_retry = self._deps.dispatcher.take_retry(self._work)
-        return self._has_retry
+        self._has_reserved_retry = self._deps.dispatcher.take_retry(self._work)
+        return self._has_reserved_retry
 
-    async def _take_answer(
+    async def _handle_answer(
         self,
         listed: ListedTarget,
         answer: ForwardAnswer,
@@ -340,7 +340,7 @@
     ) -> tuple[AttemptEnd | None, str]:
         target = listed.target
         head = answer.head
-        self._deps.on_head(listed, head, sent_seconds)
+        self._deps.on_answer_headers(listed, head, sent_seconds)
         if head.was_not_run or head.is_other_target:
             self._is_sent = False
             await self._read_rejection(answer)
@@ -351,13 +351,13 @@
                 target, self._work.model, head.weights_version
             )
         try:
-            patience = StreamPatience(
+            timeouts = StreamTimeouts(
                 wait_seconds,
                 idle_timeout_seconds(self._way.route, self._sends),
-                self._may_leave,
+                self._may_abandon,
             )
-            result = await self._relay.take(answer, patience, self._note_first)
-        except SilentTarget:
+            result = await self._relay.relay(answer, timeouts, self._note_first)
+        except FirstByteTimeout:
             self._deps.targets.note_end(target, Ending.BAD)
             return AttemptEnd.LOST, "silent"
         finally:
@@ -370,7 +370,7 @@
     async def _read_rejection(self, answer: ForwardAnswer) -> None:
         """Read a short refusal to its end, so that its connection can be kept."""
         try:
-            await answer.read_whole(_REJECTION_BYTES)
+            await answer.read_whole(_MAX_REJECTION_BYTES)
         except TargetError as error:
             self._log.info("forward: rejection broke off", reason=error.reason)
         finally:
@@ -412,6 +412,6 @@
             return known
         if self._way.route.kind is RouteKind.NON_IDEMPOTENT:
             return FinishKind.ANSWER_LOST
-        if await self._deps.is_same_start(listed):
+        if await self._deps.is_same_incarnation(listed):
             return FinishKind.ANSWER_LOST
         return FinishKind.TARGET_LOST
--- a/lycheepost/callers/forwardwork.py
+++ b/lycheepost/callers/forwardwork.py
@@ -22,12 +22,12 @@
 
 def first_token_timeout_seconds(route: Route, request: ForwardRequest) -> float:
     """Return how long the caller waits for the first part of its answer."""
-    patience = route.timeout_seconds
-    if request.first_token_timeout_seconds is not None:
-        patience = min(patience, request.first_token_timeout_seconds)
+    timeout_seconds = route.timeout_seconds
+    if request.caller_timeout_seconds is not None:
+        timeout_seconds = min(timeout_seconds, request.caller_timeout_seconds)
     if route.kind is not RouteKind.STREAM:
-        return patience
-    return min(patience, caller_stream_timeout_seconds(route))
+        return timeout_seconds
+    return min(timeout_seconds, caller_stream_timeout_seconds(route))
 
 
 def continued_work(work: Work, route: Route, elapsed_seconds: float) -> Work:
@@ -37,56 +37,65 @@
     arrival it is spent soon, and the rest of a long stream would be refused as too
     late wherever there is a queue.
     """
-    patience = elapsed_seconds + caller_stream_timeout_seconds(route)
-    return replace(work, first_token_timeout_seconds=patience)
+    timeout_seconds = elapsed_seconds + caller_stream_timeout_seconds(route)
+    return replace(work, first_token_timeout_seconds=timeout_seconds)
 
 
 def _levels(
-    deps: ForwardDeps, way: RouteMatch, prompt: Prompt
+    deps: ForwardDeps, route_match: RouteMatch, prompt: Prompt
 ) -> tuple[PrefixLevel, ...]:
     """Return the levels under the newest weights that any target holds."""
     version = deps.targets.newest_weights(prompt.model)
-    return prompt_levels(make_scope(way.holder, version), prompt)
+    return prompt_levels(make_scope(route_match.holder, version), prompt)
 
 
-def rank_of(way: RouteMatch) -> int:
+def rank_of(route_match: RouteMatch) -> int:
     """Return how urgent a request is; a customer's rank goes before its route's."""
-    return way.route.rank if way.holder.rank is None else way.holder.rank
+    return (
+        route_match.route.rank
+        if route_match.holder.rank is None
+        else route_match.holder.rank
+    )
 
 
-def engine_rank(way: RouteMatch) -> int:
+def engine_rank(route_match: RouteMatch) -> int:
     """Return the rank that an engine is told; lower runs first.
 
     A customer's rank goes first. Between requests of one rank the route's decides:
     the engines hold both long prompts, which occupy them for a tenth of a second,
     and short ones that would wait behind them.
     """
-    return RANK_STEPS * rank_of(way) + min(way.route.rank, RANK_STEPS - 1)
+    return RANK_STEPS * rank_of(route_match) + min(
+        route_match.route.rank, RANK_STEPS - 1
+    )
 
 
-def _priority(way: RouteMatch) -> Priority:
-    return Priority(min(rank_of(way), Priority.BATCH.value))
+def _priority(route_match: RouteMatch) -> Priority:
+    return Priority(min(rank_of(route_match), Priority.BATCH.value))
 
 
 def make_work(
-    deps: ForwardDeps, request: ForwardRequest, way: RouteMatch, table: RouteTable
+    deps: ForwardDeps,
+    request: ForwardRequest,
+    route_match: RouteMatch,
+    table: RouteTable,
 ) -> Work:
     """Return the work of a request on its route.
 
     Args:
         deps: Gives the id and the point at which split traffic is divided.
         request: The caller's request.
-        way: Its route and sender.
+        route_match: Its route and sender.
         table: The configuration that the route is of.
     """
-    route = way.route
+    route = route_match.route
     prompt = request.prompt
-    group = choose_group(route, deps.pick_point())
+    group = choose_group(route, deps.draw_split_point())
     if table.groups.get(group) is None or table.groups[group].engine is None:
         prompt = None
     identity = f"{request.method} {request.host}{request.raw_path}\n".encode()
-    customer = way.holder.customer
-    levels = () if prompt is None else _levels(deps, way, prompt)
+    customer = route_match.holder.customer
+    levels = () if prompt is None else _levels(deps, route_match, prompt)
     return Work(
         request=deps.make_request_id(),
         customer=customer,
@@ -98,11 +107,13 @@
         output_tokens=(
             _PLAIN_OUTPUT_TOKENS if prompt is None else prompt.max_output_tokens
         ),
-        priority=_priority(way),
+        priority=_priority(route_match),
         arrived_seconds=request.arrived_seconds,
         first_token_timeout_seconds=first_token_timeout_seconds(route, request),
         fingerprint=fingerprint_body(customer, identity + request.body),
         is_idempotent=route.is_repeatable,
         objective_seconds=route.objective_seconds or math.inf,
-        kept_tokens=deps.kv_copies.kept_tokens(choose_kv_store(table, levels), levels),
+        kept_tokens=deps.kv_store_contents.kept_tokens(
+            choose_kv_store(table, levels), levels
+        ),
     )
--- a/lycheepost/callers/headers.py
+++ b/lycheepost/callers/headers.py
@@ -45,7 +45,7 @@
             CallerHeaders(
                 caller_request_id=_read_token(headers, "X-Request-Id"),
                 idempotency_key=_read_key(headers),
-                first_token_timeout_seconds=_read_patience(headers, limits),
+                first_token_timeout_seconds=_read_timeout(headers, limits),
                 is_marked_non_idempotent=_read_flag(headers, "X-Non-Idempotent"),
                 priority=_read_priority(headers),
             )
@@ -72,7 +72,7 @@
     return IdempotencyKey(value) if value else None
 
 
-def _read_patience(headers: Mapping[str, str], limits: LimitSettings) -> float:
+def _read_timeout(headers: Mapping[str, str], limits: LimitSettings) -> float:
     text = headers.get("X-Request-Timeout-Seconds")
     if text is None:
         return limits.default_patience_seconds
--- a/lycheepost/callers/keyed.py
+++ b/lycheepost/callers/keyed.py
@@ -97,7 +97,7 @@
         )
         match claimed:
             case Success(outcome):
-                claim = _granted(outcome)
+                claim = _claim_or_answer(outcome)
             case Failure(error):
                 self._deps.metrics.count("claims.unavailable")
                 raise store_unavailable(
@@ -107,18 +107,18 @@
         if isinstance(claim, StoredAnswer):
             return claim
         answer: Answer = asyncio.get_running_loop().create_future()
-        return await self._own(self._run_claimed(claim, run, answer), answer)
+        return await self._run_owned(self._run_claimed(claim, run, answer), answer)
 
-    async def run_through(self, run: Run) -> StoredAnswer:
+    async def run_to_completion(self, run: Run) -> StoredAnswer:
         """Run a request without a key to its end, also when its caller leaves.
 
         Raises:
             CallerError: There is no answer.
         """
         answer: Answer = asyncio.get_running_loop().create_future()
-        return await self._own(_run_plain(run, answer), answer)
+        return await self._run_owned(_run_unclaimed(run, answer), answer)
 
-    async def _own(
+    async def _run_owned(
         self, work: Coroutine[Any, Any, None], answer: Answer
     ) -> StoredAnswer:
         """Start a run that a drain waits for, and wait for its answer."""
@@ -132,11 +132,11 @@
             stored = await run()
         except CallerError as error:
             # The caller does not wait for the store to take it.
-            _settle(answer, error)
-            await self._give_up(claim, error.executed)
+            _set_error(answer, error)
+            await self._end_claim(claim, error.executed)
         except BaseException as error:
             # It is not known how far the run came, so nobody may run it again.
-            _settle(answer, error)
+            _set_error(answer, error)
             await self._deps.claims.abandon(claim)
             raise
         else:
@@ -145,7 +145,7 @@
             answer.set_result(stored)
             await self._deps.claims.store_answer(claim, stored)
 
-    async def _give_up(self, claim: Granted, executed: Executed) -> None:
+    async def _end_claim(self, claim: Granted, executed: Executed) -> None:
         match executed:
             case Executed.NO:
                 await self._deps.claims.release(claim)
@@ -153,23 +153,23 @@
                 await self._deps.claims.abandon(claim)
 
 
-async def _run_plain(run: Run, answer: Answer) -> None:
+async def _run_unclaimed(run: Run, answer: Answer) -> None:
     try:
         answer.set_result(await run())
     except BaseException as error:
-        _settle(answer, error)
+        _set_error(answer, error)
         if not isinstance(error, CallerError):
             raise
 
 
-def _settle(answer: Answer, error: BaseException) -> None:
+def _set_error(answer: Answer, error: BaseException) -> None:
     answer.set_exception(error)
     # The caller may have left; the error is then logged nowhere else.
     answer.exception()
     _log.info("callers: keyed run ended without an answer", reason=type(error).__name__)
 
 
-def _granted(outcome: ClaimOutcome) -> Granted | StoredAnswer:
+def _claim_or_answer(outcome: ClaimOutcome) -> Granted | StoredAnswer:
     match outcome:
         case Granted():
             return outcome
--- a/lycheepost/callers/parse.py
+++ b/lycheepost/callers/parse.py
@@ -19,7 +19,7 @@
 DEFAULT_OUTPUT_TOKENS = 256
 """Tokens expected of an answer whose caller sets no limit; only for prediction."""
 
-_OWN_FIELDS = frozenset(
+_DAEMON_FIELDS = frozenset(
     {"cache_salt", "priority", "continue_final_message", "add_generation_prompt"}
 )
 """Fields that the daemon sets. A caller's value is dropped: a customer who could
@@ -83,26 +83,28 @@
         fields = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
     except UNREADABLE as error:
         raise invalid(f"The body is not a JSON object: {error}.") from error
-    model = _take(fields, "model", str, None)
+    model = _read_field(fields, "model", str, None)
     if not model:
         raise invalid("A model must be named.", "model")
-    if _take(fields, "n", int | None, 1) not in (1, None):
+    if _read_field(fields, "n", int | None, 1) not in (1, None):
         raise invalid("Only n = 1 is served.", "n")
-    max_tokens = _take_max_tokens(fields)
-    options = _take(fields, "stream_options", dict[str, Any] | None, None) or {}
+    max_tokens = _read_max_tokens(fields)
+    options = _read_field(fields, "stream_options", dict[str, Any] | None, None) or {}
     return CompletionCall(
         endpoint=endpoint,
         model=ModelId(model),
-        segments=_take_segments(endpoint, fields),
+        segments=_read_segments(endpoint, fields),
         max_tokens=max_tokens,
-        is_streamed=bool(_take(fields, "stream", bool | None, False)),
+        is_streamed=bool(_read_field(fields, "stream", bool | None, False)),
         wants_usage=options.get("include_usage") is True,
         is_continuable=not _UNCONTINUABLE_FIELDS.intersection(fields),
-        fields={key: raw for key, raw in fields.items() if key not in _OWN_FIELDS},
+        fields={key: raw for key, raw in fields.items() if key not in _DAEMON_FIELDS},
     )
 
 
-def _take(fields: dict[str, msgspec.Raw], name: str, kind: Any, default: Any) -> Any:
+def _read_field(
+    fields: dict[str, msgspec.Raw], name: str, kind: Any, default: Any
+) -> Any:
     raw = fields.get(name)
     if raw is None:
         return default
@@ -112,9 +114,9 @@
         raise invalid(f"The field {name} is not valid: {error}.", name) from error
 
 
-def _take_max_tokens(fields: dict[str, msgspec.Raw]) -> int | None:
+def _read_max_tokens(fields: dict[str, msgspec.Raw]) -> int | None:
     for name in ("max_completion_tokens", "max_tokens"):
-        value = _take(fields, name, int | None, None)
+        value = _read_field(fields, name, int | None, None)
         if value is None:
             continue
         if value < 1:
@@ -123,21 +125,21 @@
     return None
 
 
-def _take_segments(
+def _read_segments(
     endpoint: Endpoint, fields: dict[str, msgspec.Raw]
 ) -> tuple[bytes, ...]:
     match endpoint:
         case Endpoint.CHAT:
-            return _take_messages(fields)
+            return _read_messages(fields)
         case Endpoint.COMPLETIONS:
-            prompt = _take(fields, "prompt", str, None)
+            prompt = _read_field(fields, "prompt", str, None)
             if not prompt:
                 raise invalid("A prompt must be given as one text.", "prompt")
             return (prompt.encode(),)
 
 
-def _take_messages(fields: dict[str, msgspec.Raw]) -> tuple[bytes, ...]:
-    messages = _take(fields, "messages", list[msgspec.Raw], None)
+def _read_messages(fields: dict[str, msgspec.Raw]) -> tuple[bytes, ...]:
+    messages = _read_field(fields, "messages", list[msgspec.Raw], None)
     if not messages:
         raise invalid("At least one message must be given.", "messages")
     for index, message in enumerate(messages):
--- a/lycheepost/callers/relaying.py
+++ b/lycheepost/callers/relaying.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from lycheepost.callers.forwarddeps import CallerSide, ForwardDeps, ForwardRequest
+from lycheepost.callers.forwarddeps import CallerConnection, ForwardDeps, ForwardRequest
 from lycheepost.core.routing import Route, RouteKind
 from lycheepost.decide.attempts import AttemptEnd
 from lycheepost.targets.errors import TargetError
@@ -21,7 +21,7 @@
 from lycheepost.targets.forward import ForwardAnswer
 from lycheepost.targets.forwardcall import AnswerHead
 
-MOST_ANSWER_BYTES = 8 * 1024 * 1024
+MAX_ANSWER_BYTES = 8 * 1024 * 1024
 """Largest whole answer held in memory; a larger one is told as a failure."""
 
 _FIRST_ERROR_STATUS = 400
@@ -30,7 +30,7 @@
 _log = structlog.get_logger(part="relay")
 
 
-class SilentTarget(Exception):
+class FirstByteTimeout(Exception):
     """The head came, and nothing of the body in time."""
 
 
@@ -61,22 +61,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StreamPatience:
+class StreamTimeouts:
     """How long a stream may be silent.
 
     Attributes:
-        first_seconds: Before the first part.
-        gap_seconds: Between two parts; None for as long as the caller waits.
-        may_leave: Asked when it was silent for so long; False to wait once more.
+        first_byte_seconds: Before the first part.
+        idle_seconds: Between two parts; None for as long as the caller waits.
+        may_abandon: Asked when it was silent for so long; False to wait once more.
     """
 
-    first_seconds: float
-    gap_seconds: float | None
-    may_leave: Callable[[], bool]
+    first_byte_seconds: float
+    idle_seconds: float | None
+    may_abandon: Callable[[], bool]
 
 
-async def read_patiently(
-    answer: ForwardAnswer, wait_seconds: float | None, may_leave: Callable[[], bool]
+async def read_with_timeout(
+    answer: ForwardAnswer, wait_seconds: float | None, may_abandon: Callable[[], bool]
 ) -> bytes | None:
     """Return the next bytes of an answer; None after its end.
 
@@ -88,7 +88,7 @@
             async with asyncio.timeout(wait_seconds):
                 return await answer.read()
         except TimeoutError:
-            if may_leave():
+            if may_abandon():
                 raise
 
 
@@ -106,12 +106,12 @@
         deps: ForwardDeps,
         request: ForwardRequest,
         route: Route,
-        caller: CallerSide,
+        caller: CallerConnection,
     ) -> None:
         self.has_begun = False
         self.first_seconds: float | None = None
         self.longest_gap_seconds = 0.0
-        self._last_part_seconds: float | None = None
+        self._last_write_seconds: float | None = None
         self._deps = deps
         self._request = request
         self._route = route
@@ -130,21 +130,21 @@
         """Tell whether another target can go on after what the caller has."""
         return self._route.is_resumable and self._splitter.last_id is not None
 
-    async def take(
+    async def relay(
         self,
         answer: ForwardAnswer,
-        patience: StreamPatience,
+        timeouts: StreamTimeouts,
         on_first: Callable[[], None],
     ) -> RelayEnd:
         """Relay one answer.
 
         Args:
             answer: Its head has come, and the target ran the request.
-            patience: How long a stream may be silent.
+            timeouts: How long a stream may be silent.
             on_first: Called when the first part has come.
 
         Raises:
-            SilentTarget: Nothing came in time; the caller has got nothing of it.
+            FirstByteTimeout: Nothing came in time; the caller has got nothing of it.
         """
         head = answer.head
         if head.is_encoded or (
@@ -153,26 +153,26 @@
             return RelayEnd.UNSEALED
         is_stream = self._route.kind is RouteKind.STREAM
         if head.status < _FIRST_ERROR_STATUS and is_stream:
-            return await self._relay_stream(answer, patience, on_first)
+            return await self._relay_stream(answer, timeouts, on_first)
         if self.has_begun:
             return RelayEnd.CUT
-        return await self._relay_whole(answer, on_first)
+        return await self._relay_complete(answer, on_first)
 
-    async def _relay_whole(
+    async def _relay_complete(
         self, answer: ForwardAnswer, on_first: Callable[[], None]
     ) -> RelayEnd:
         on_first()
         try:
-            body = await answer.read_whole(MOST_ANSWER_BYTES)
+            body = await answer.read_whole(MAX_ANSWER_BYTES)
         except TargetError as error:
             self._log_broken(error)
             return RelayEnd.BROKEN
         if answer.head.status >= _FIRST_SERVER_ERROR_STATUS:
             self._failure = (answer.head, body)
             return RelayEnd.FAILED
-        return await self._send_whole(answer.head, body)
+        return await self._send_complete(answer.head, body)
 
-    async def _send_whole(self, head: AnswerHead, body: bytes) -> RelayEnd:
+    async def _send_complete(self, head: AnswerHead, body: bytes) -> RelayEnd:
         self._note_begun()
         try:
             await self._caller.begin(head, len(body))
@@ -187,26 +187,26 @@
         if self._failure is None or self.has_begun:
             return False
         head, body = self._failure
-        await self._send_whole(head, body)
+        await self._send_complete(head, body)
         return True
 
     async def _relay_stream(
         self,
         answer: ForwardAnswer,
-        patience: StreamPatience,
+        timeouts: StreamTimeouts,
         on_first: Callable[[], None],
     ) -> RelayEnd:
         self._splitter.restart()
         after_id = self._splitter.last_id
         try:
-            data = await self._read_first(answer, patience)
+            data = await self._read_first(answer, timeouts)
             on_first()
             while data is not None:
                 events = self._splitter.feed(data)
                 if not self._is_in_order(after_id):
                     return RelayEnd.OUT_OF_ORDER
                 await self._send_events(answer.head, events)
-                data = await self._read_next(answer, patience)
+                data = await self._read_next(answer, timeouts)
             await self._send_events(answer.head, self._splitter.flush())
             await self._finish_stream(answer.head)
         except TimeoutError:
@@ -219,19 +219,21 @@
         return RelayEnd.SERVED
 
     async def _read_first(
-        self, answer: ForwardAnswer, patience: StreamPatience
+        self, answer: ForwardAnswer, timeouts: StreamTimeouts
     ) -> bytes | None:
         try:
-            return await read_patiently(
-                answer, patience.first_seconds, patience.may_leave
+            return await read_with_timeout(
+                answer, timeouts.first_byte_seconds, timeouts.may_abandon
             )
         except TimeoutError:
-            raise SilentTarget from None
+            raise FirstByteTimeout from None
 
     async def _read_next(
-        self, answer: ForwardAnswer, patience: StreamPatience
+        self, answer: ForwardAnswer, timeouts: StreamTimeouts
     ) -> bytes | None:
-        return await read_patiently(answer, patience.gap_seconds, patience.may_leave)
+        return await read_with_timeout(
+            answer, timeouts.idle_seconds, timeouts.may_abandon
+        )
 
     def _is_in_order(self, after_id: int | None) -> bool:
         """Tell whether a continuation goes on after what the caller has.
@@ -247,15 +249,15 @@
         if not self.has_begun:
             self._note_begun()
             await self._caller.begin(head, None)
-        self._note_part()
+        self._note_write()
         await self._caller.write(events)
 
-    def _note_part(self) -> None:
+    def _note_write(self) -> None:
         now_seconds = self._deps.clock.now_seconds()
-        if self._last_part_seconds is not None:
-            gap_seconds = round(now_seconds - self._last_part_seconds, 4)
+        if self._last_write_seconds is not None:
+            gap_seconds = round(now_seconds - self._last_write_seconds, 4)
             self.longest_gap_seconds = max(self.longest_gap_seconds, gap_seconds)
-        self._last_part_seconds = now_seconds
+        self._last_write_seconds = now_seconds
 
     async def _finish_stream(self, head: AnswerHead) -> None:
         if not self.has_begun:
@@ -276,11 +278,11 @@
             reason=error.reason,
         )
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break the caller's connection; its answer cannot be completed."""
         _log.warning(
             "relay: answer cut",
             request_id=self._request.caller_id,
             last_event=self._splitter.last_id,
         )
-        self._caller.cut()
+        self._caller.abort()
--- a/lycheepost/callers/routes.py
+++ b/lycheepost/callers/routes.py
@@ -33,7 +33,7 @@
 
 DRAIN_RETRY_SECONDS = 1.0
 """Another address serves at once; the client need not wait for this daemon."""
-JSON = "application/json"
+JSON_CONTENT_TYPE = "application/json"
 _log = structlog.get_logger(part="callers")
 
 _INTERNAL_ERROR = CallerError(
@@ -49,7 +49,7 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-class CallerFront:
+class CallerApi:
     """The handlers, over one set of dependencies.
 
     Attributes:
@@ -66,12 +66,14 @@
     def routes(self) -> list[web.RouteDef]:
         """Return the routes to mount on a listener."""
         return [
-            web.post("/v1/chat/completions", self._work(self._chat)),
-            web.post("/v1/completions", self._work(self._complete)),
-            web.get("/v1/models", self._plain(self._models)),
-            web.get("/v1/addresses", self._plain(self._addresses)),
+            web.post("/v1/chat/completions", self._target_handler(self._chat)),
+            web.post("/v1/completions", self._target_handler(self._complete)),
+            web.get("/v1/models", self._local_handler(self._models)),
+            web.get("/v1/addresses", self._local_handler(self._addresses)),
             web.route(
-                "*", "/services/{target_group}/{path:.*}", self._work(self._service)
+                "*",
+                "/services/{target_group}/{path:.*}",
+                self._target_handler(self._service),
             ),
             web.get("/healthz", self._healthz),
             web.get("/readyz", self._readyz),
@@ -90,7 +92,7 @@
         """Cut off the keyed runs that are left."""
         await self.keyed.stop()
 
-    def _work(self, answer: Answer) -> Handler:
+    def _target_handler(self, answer: Answer) -> Handler:
         """Wrap a handler that runs work on targets."""
 
         async def handle(request: web.Request) -> web.StreamResponse:
@@ -101,7 +103,7 @@
                 self.n_open += 1
                 self._idle.clear()
                 try:
-                    return await self._guard(answer, request_id, request)
+                    return await self._handle_errors(answer, request_id, request)
                 finally:
                     self.n_open -= 1
                     if self.n_open == 0:
@@ -109,16 +111,16 @@
 
         return handle
 
-    def _plain(self, answer: Answer) -> Handler:
+    def _local_handler(self, answer: Answer) -> Handler:
         """Wrap a handler that only reads this daemon's own state."""
 
         async def handle(request: web.Request) -> web.StreamResponse:
             request_id = self._deps.make_request_id()
-            return await self._guard(answer, request_id, request)
+            return await self._handle_errors(answer, request_id, request)
 
         return handle
 
-    async def _guard(
+    async def _handle_errors(
         self, answer: Answer, request_id: RequestId, request: web.Request
     ) -> web.StreamResponse:
         try:
@@ -169,7 +171,7 @@
         customer = unwrap(identify_customer(view, request.headers))
         entries = [ModelEntry(id=item.model) for item in list_models(view, customer)]
         body = msgspec.json.encode(ModelList(data=entries))
-        return web.Response(body=body, content_type=JSON)
+        return web.Response(body=body, content_type=JSON_CONTENT_TYPE)
 
     async def _addresses(
         self, _request_id: RequestId, request: web.Request
@@ -181,7 +183,7 @@
             record = unwrap(identify_customer(view, request.headers))
             customer = CustomerId(record.customer)
         body = msgspec.json.encode(self._deps.addresses(customer))
-        return web.Response(body=body, content_type=JSON)
+        return web.Response(body=body, content_type=JSON_CONTENT_TYPE)
 
     async def _healthz(self, _request: web.Request) -> web.Response:
         return web.json_response({"status": "ok"})
--- a/lycheepost/callers/services.py
+++ b/lycheepost/callers/services.py
@@ -43,18 +43,18 @@
 
 _IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
 
-_PASSED_HEADERS = ("Accept", "Accept-Language", "Content-Type", "Idempotency-Key")
+_FORWARDED_HEADERS = ("Accept", "Accept-Language", "Content-Type", "Idempotency-Key")
 """All that a service gets of the caller's headers. The bearer key stays here: a
 service could use it to act as the customer."""
 
 CUSTOMER_HEADER = "Lycheepost-Customer"
 """Tells the service whose call it is."""
 
-_OCTETS = "application/octet-stream"
+_OCTET_STREAM = "application/octet-stream"
 
 
 @dataclass(frozen=True)
-class Asked:
+class CheckedRequest:
     """A service call after its checks."""
 
     customer: CustomerId
@@ -62,7 +62,7 @@
     work: Work
     method: str
     path: str
-    passed_headers: tuple[tuple[str, str], ...]
+    forwarded_headers: tuple[tuple[str, str], ...]
     body: bytes
 
 
@@ -74,32 +74,34 @@
     Raises:
         CallerError: There is no answer of the service.
     """
-    asked = await _ask(deps, request_id, request)
-    if asked.headers.idempotency_key is not None:
+    checked = await _check_request(deps, request_id, request)
+    if checked.headers.idempotency_key is not None:
         identity = KeyedRequest(
-            asked.customer,
-            asked.headers.idempotency_key,
-            asked.work.fingerprint,
+            checked.customer,
+            checked.headers.idempotency_key,
+            checked.work.fingerprint,
             request_id,
         )
-        stored = await keyed.run_once(identity, lambda: _run(deps, asked))
-    elif asked.work.is_idempotent:
-        stored = await _run(deps, asked)
+        stored = await keyed.run_once(identity, lambda: _run(deps, checked))
+    elif checked.work.is_idempotent:
+        stored = await _run(deps, checked)
     else:
         # A caller that leaves must not cut the call off half-way.
-        stored = await keyed.run_through(lambda: _run(deps, asked))
+        stored = await keyed.run_to_completion(lambda: _run(deps, checked))
     return web.Response(
         status=stored.status,
         body=stored.body,
         headers={
             "Content-Type": stored.content_type,
-            "X-Request-Id": asked.headers.caller_request_id or request_id,
+            "X-Request-Id": checked.headers.caller_request_id or request_id,
             EXECUTED_HEADER: Executed.YES.value,
         },
     )
 
 
-async def _ask(deps: CallerDeps, request_id: RequestId, request: web.Request) -> Asked:
+async def _check_request(
+    deps: CallerDeps, request_id: RequestId, request: web.Request
+) -> CheckedRequest:
     arrived_seconds = deps.clock.now_seconds()
     view = deps.configuration.view
     record = unwrap(identify_customer(view, request.headers))
@@ -114,7 +116,7 @@
     )
     passed = [
         (name, request.headers[name])
-        for name in _PASSED_HEADERS
+        for name in _FORWARDED_HEADERS
         if name in request.headers
     ]
     passed.append((CUSTOMER_HEADER, customer))
@@ -135,22 +137,24 @@
         fingerprint=fingerprint_body(customer, identity + body),
         is_idempotent=is_idempotent,
     )
-    return Asked(
+    return CheckedRequest(
         customer, headers, work, request.method, path or "/", tuple(passed), body
     )
 
 
-async def _run(deps: CallerDeps, asked: Asked) -> StoredAnswer:
+async def _run(deps: CallerDeps, checked: CheckedRequest) -> StoredAnswer:
     """Call targets until one answers or no try is left."""
-    charge = make_charge(deps, asked.work)
+    charge = make_charge(deps, checked.work)
     executed = Executed.NO
     try:
         charge.take()
-        answer = await _try_targets(deps, asked)
+        answer = await _try_targets(deps, checked)
         executed = Executed.YES
     except CallerError as error:
         executed = error.executed
-        _note(deps, asked, end_of(error), error.executed is not Executed.UNKNOWN)
+        _report_sample(
+            deps, checked, end_of(error), error.executed is not Executed.UNKNOWN
+        )
         raise
     except asyncio.CancelledError:
         # The caller left in the middle; a target may be at work.
@@ -159,12 +163,12 @@
     finally:
         charge.settle(executed)
     end = EndKind.SUCCESS if answer.status < 500 else EndKind.FAILED
-    _note(deps, asked, end, True)
+    _report_sample(deps, checked, end, True)
     return answer
 
 
-async def _try_targets(deps: CallerDeps, asked: Asked) -> StoredAnswer:
-    work = asked.work
+async def _try_targets(deps: CallerDeps, checked: CheckedRequest) -> StoredAnswer:
+    work = checked.work
     executed = Executed.NO
     outcome = await deps.dispatcher.admit(work)
     while True:
@@ -172,7 +176,7 @@
             case Refuse():
                 raise from_refusal(outcome, executed)
             case Dispatch(target=target):
-                answer = await _send(deps, asked, target)
+                answer = await _send(deps, checked, target)
         match answer:
             case StoredAnswer():
                 return answer
@@ -181,36 +185,36 @@
             case TargetError():
                 executed = Executed.UNKNOWN
                 if not work.is_idempotent:
-                    raise _lost(asked)
+                    raise _outcome_unknown(checked)
         work = replace(work, excluded=work.excluded | {target})
         outcome = await deps.dispatcher.readmit(work)
 
 
 async def _send(
-    deps: CallerDeps, asked: Asked, target: TargetId
+    deps: CallerDeps, checked: CheckedRequest, target: TargetId
 ) -> StoredAnswer | TargetError:
     """Call one target; the scheduler learns how it went in any case."""
     kind = FinishKind.CANCELLED
     url = target_url(deps, target)
     if url is None:
-        deps.dispatcher.finish(asked.work.request, FinishKind.TARGET_REFUSED)
+        deps.dispatcher.finish(checked.work.request, FinishKind.TARGET_REFUSED)
         return TargetUnreachable("the target was removed")
     call = ServiceCall(
         target=target,
         url=url,
-        request=asked.work.request,
-        method=asked.method,
-        path=asked.path,
-        headers=asked.passed_headers,
-        body=asked.body,
-        is_idempotent=asked.work.is_idempotent,
+        request=checked.work.request,
+        method=checked.method,
+        path=checked.path,
+        headers=checked.forwarded_headers,
+        body=checked.body,
+        is_idempotent=checked.work.is_idempotent,
     )
     try:
         match await deps.services.call(call):
             case Success(answer):
                 kind = FinishKind.COMPLETE
-                deps.dispatcher.first_token(asked.work.request)
-                content_type = dict(answer.headers).get("Content-Type", _OCTETS)
+                deps.dispatcher.first_token(checked.work.request)
+                content_type = dict(answer.headers).get("Content-Type", _OCTET_STREAM)
                 return StoredAnswer(answer.status, content_type, answer.body)
             case Failure(error):
                 is_unreachable = isinstance(error, TargetUnreachable)
@@ -222,11 +226,11 @@
                 return error
         raise AssertionError("a result is a success or a failure")
     finally:
-        deps.dispatcher.finish(asked.work.request, kind)
+        deps.dispatcher.finish(checked.work.request, kind)
 
 
-def _lost(asked: Asked) -> CallerError:
-    is_keyed = asked.headers.idempotency_key is not None
+def _outcome_unknown(checked: CheckedRequest) -> CallerError:
+    is_keyed = checked.headers.idempotency_key is not None
     advice = "Ask again with the same key." if is_keyed else "Look before resending."
     return CallerError(
         f"The service was lost; whether it ran the call is not known. {advice}",
@@ -238,14 +242,16 @@
     )
 
 
-def _note(deps: CallerDeps, asked: Asked, end: EndKind, is_known: bool) -> None:
+def _report_sample(
+    deps: CallerDeps, checked: CheckedRequest, end: EndKind, is_known: bool
+) -> None:
     once = OnceState.NOT_ASKED
-    if not asked.work.is_idempotent:
+    if not checked.work.is_idempotent:
         once = OnceState.KEPT if is_known else OnceState.UNKNOWN
     deps.on_sample(
         Sample(
-            customer=asked.customer,
-            model=asked.work.target_group,
+            customer=checked.customer,
+            model=checked.work.target_group,
             end=end,
             once=once,
         )
--- a/lycheepost/callers/sinks.py
+++ b/lycheepost/callers/sinks.py
@@ -37,7 +37,7 @@
         self.response.headers[EXECUTED_HEADER] = Executed.YES.value
 
     @property
-    def is_begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Tell whether the caller has got a status already."""
         return self.response.prepared
 
@@ -63,7 +63,7 @@
         self.chunks: list[bytes] = []
 
     @property
-    def is_begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Tell whether the caller has got a status already; never here."""
         return False
 
@@ -83,7 +83,7 @@
             await stream.cancel()
             raise
 
-    def whole(self) -> bytes:
+    def content(self) -> bytes:
         """Return all bytes."""
         return b"".join(self.chunks)
 
@@ -98,12 +98,12 @@
     def __init__(self, live: LiveSink) -> None:
         self._live = live
         self._buffer = BufferSink()
-        self._is_caller_gone = False
+        self._has_caller_left = False
 
     @property
-    def is_begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Tell whether the caller has got a status already."""
-        return self._live.is_begun
+        return self._live.has_begun
 
     async def begin(self, data: bytes) -> None:
         """Keep and send the first bytes."""
@@ -111,7 +111,7 @@
         try:
             await self._live.begin(data)
         except (ConnectionError, RuntimeError):
-            self._note_gone()
+            self._note_caller_left()
 
     async def pump(self, stream: EngineStream) -> RelayOutcome:
         """Read a stream to its end; write as long as the caller is there."""
@@ -123,21 +123,21 @@
         except StreamLost as error:
             return RelayLost(error)
 
-    def whole(self) -> bytes:
+    def content(self) -> bytes:
         """Return all bytes."""
-        return self._buffer.whole()
+        return self._buffer.content()
 
     async def _write(self, data: bytes) -> None:
-        if self._is_caller_gone:
+        if self._has_caller_left:
             return
         try:
             await self._live.response.write(data)
         except (ConnectionError, RuntimeError):
             # aiohttp raises RuntimeError once the response has been ended.
-            self._note_gone()
+            self._note_caller_left()
 
-    def _note_gone(self) -> None:
-        self._is_caller_gone = True
+    def _note_caller_left(self) -> None:
+        self._has_caller_left = True
         _log.info("callers: caller left a keyed answer; it is finished for resends")
 
 
--- a/lycheepost/callers/versions.py
+++ b/lycheepost/callers/versions.py
@@ -9,7 +9,7 @@
 from lycheepost.generated.configuration import Model
 from lycheepost.state.view import ConfigurationView
 
-_KEY_BYTES = 4096
+_KEY_PREFIX_BYTES = 4096
 """Of the first segment: enough to tell tenants and templates apart, little enough
 to cost nothing."""
 
@@ -30,6 +30,6 @@
         """Return the weights that a request is to be served with."""
         if not model.next_weights_version:
             return WeightsVersion(model.weights_version)
-        outermost = segments[0][:_KEY_BYTES] if segments else b""
+        outermost = segments[0][:_KEY_PREFIX_BYTES] if segments else b""
         key = hash_bytes(outermost, hash_bytes(customer.encode()))
         return self._chooser.choose(ModelId(model.model), key)
--- a/lycheepost/platform/ingress.py
+++ b/lycheepost/platform/ingress.py
@@ -88,7 +88,7 @@
         assert self.response is not None
         await self._guard(self.response.write_eof())
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break the connection at once."""
         if self._request.transport is not None:
             self._request.transport.abort()
@@ -145,7 +145,7 @@
             _log.exception("ingress: failed", request_id=_attempt_id(request))
             if side.response is None:
                 return self._error_response(_INTERNAL_ERROR, request)
-            side.cut()
+            side.abort()
         finally:
             self.n_open -= 1
             if self.n_open == 0:
@@ -254,11 +254,11 @@
 
 def _first_wait_seconds(request: ForwardRequest) -> float:
     """Return how long a request waits for a daemon that has just started."""
-    first_token_timeout_seconds = request.first_token_timeout_seconds
+    caller_timeout_seconds = request.caller_timeout_seconds
     return (
         math.inf
-        if first_token_timeout_seconds is None
-        else FIRST_SHARE * first_token_timeout_seconds
+        if caller_timeout_seconds is None
+        else FIRST_SHARE * caller_timeout_seconds
     )
 
 
@@ -310,7 +310,7 @@
         raw_path=request.raw_path,
         headers=tuple(kept),
         key=_decode_key(headers),
-        first_token_timeout_seconds=None
+        caller_timeout_seconds=None
         if deadline_ms is None
         else deadline_ms / _MILLISECONDS,
         prompt=decode_prompt(headers),
