--- a/features/callers/api.feature
+++ b/features/callers/api.feature
@@ -1,19 +1,19 @@
 Feature: The callers' HTTP interface
-  The published openai client works with a changed base_url, and every wrong
-  request gets a clear answer and reaches no target.
+  The published openai client works with only its base_url changed. Every invalid
+  request gets an explicit error and reaches no target.
 
   Scenario: The published client gets whole and streamed answers
     Given a running fleet of 2 daemons
-    When the openai client asks for a chat whole and streamed, async and sync
-    And the openai client asks for a text completion whole and streamed
-    Then all answers are whole and equal to the engine's text
-    And the models answer names exactly the models of the customer
+    When the openai client asks for a chat unstreamed and streamed, async and sync
+    And the openai client asks for a text completion unstreamed and streamed
+    Then all responses are complete and equal to the engine's text
+    And the models response lists exactly the customer's models
 
   Scenario Outline: A wrong request is refused before it reaches a target
     Given a running fleet of 1 daemons
     When a caller sends <fault>
     Then the answer has status <status> and code "<code>"
-    And it is marked as not executed and no engine saw it
+    And it is marked as not executed and no engine received it
     And the openai client would raise <error class>
 
     Examples:
@@ -36,9 +36,9 @@
       | a body that stalls        | 408    | invalid_request         | APIStatusError           |
 
   Scenario: A customer cannot choose another customer's cache salt
-    A caller sends the salt of another customer in its body. If the daemon passed
-    it on, the engine would answer from the other's cached blocks, and the time
-    to the first token would tell what the other had asked.
+    A caller sends another customer's salt in its body. If the daemon forwarded it,
+    the engine would use the other customer's cached blocks, so the time to the first
+    token would reveal what the other customer had asked.
     Given a running fleet of 1 daemons
     When two customers send the same prompt, the second with the first one's salt
     Then the second customer's answer used no cached tokens
--- a/features/callers/awaiting.feature
+++ b/features/callers/awaiting.feature
@@ -1,11 +1,11 @@
-Feature: Nobody's answers are closed
+Feature: Abandoned responses are closed
 
   Scenario Outline: An answer that comes as its caller <what> is closed
-    A caller leaves in the very moment in which its answer begins. The answer was left
-    behind with its connection open, so that its target worked on for nobody.
-    Given a send whose answer comes in the moment in which its caller <what>
-    When it is waited for
-    Then its answer is closed
+    The response begins at the moment its attempt is abandoned. If its connection
+    stayed open, the target would keep working on a response that is not read.
+    Given an attempt whose response arrives as its caller <what>
+    When its response headers are awaited
+    Then its response is closed
 
     Examples:
       | what                   |
@@ -13,7 +13,7 @@
       | gives its target up    |
 
   Scenario: An answer that is taken stays open
-    Closed by whoever waited for it, every answer would be cut.
-    Given a send whose answer comes in time
-    When it is waited for
-    Then its answer is open, and is what was waited for
+    Closing every awaited response would truncate it.
+    Given an attempt whose response arrives in time
+    When its response headers are awaited
+    Then its response is open and is returned
--- a/features/callers/environment.py
+++ b/features/callers/environment.py
@@ -1,4 +1,4 @@
-"""One event loop a scenario, with whatever the scenario has started on it."""
+"""One event loop per scenario, with everything that the scenario starts on it."""
 
 import asyncio
 import contextlib
--- a/features/callers/once.feature
+++ b/features/callers/once.feature
@@ -1,5 +1,5 @@
 Feature: A request with an idempotency key runs at most once
-  A lost or doubled print order harms a person.
+  A print order must be neither lost nor run twice.
 
   Scenario: A resend through any daemon gets the first answer byte for byte
     Given a running fleet of 3 daemons
@@ -14,17 +14,16 @@
     And the service ran the order once
 
   Scenario: A shopper taps twice
-    Two sends of one key arrive at two daemons at the same moment. If each
-    daemon looked before it wrote, both would send the order and the lab would
-    print it twice.
+    Two requests with one key arrive at two daemons at the same time. If each daemon
+    checked the key and wrote its claim in separate steps, both would send the order,
+    which would be printed twice.
     Given a running fleet of 2 daemons
     When one order is sent through both daemons at the same time 10 times over
     Then each order ran at most once and every caller has an answer or "in progress"
 
   Scenario Outline: The target fails around a keyed order
-    A shopper's order is on its way when the service fails. The caller sees an
-    error, the kiosk sends the order again with the same key, and a second run
-    would print it twice.
+    The service fails while it handles an order. The caller gets an error and resends
+    the order with the same key; a second run would print it twice.
     Given a running fleet of 2 daemons
     And the order service <fault>
     When an order is sent, and sent again through the other daemon
@@ -39,30 +38,30 @@
       | loses its answer          | 502    | unknown  | 1    | outcome_unknown |
 
   Scenario: The table service is down when an order comes
-    The store does not answer, so nobody can know whether another daemon runs
-    the key. The order is refused as not run, and runs once the store is back.
+    The store does not respond, so the daemon cannot know whether another daemon runs
+    the key. The order is refused as not run, and runs after the store has recovered.
     Given a running fleet of 1 daemons
     And the table service is down
     When an order is sent
     Then the answer has status 503 and code "store_unavailable"
-    And it is marked as not executed and tells when to come back
+    And it is marked as not executed and has a Retry-After header
     And the order ran 0 times
-    When the table service is back and the order is sent again
+    When the table service has recovered and the order is sent again
     Then the answer has status 201
 
   Scenario: A shopper walks off while the order runs
-    The kiosk drops its connection after the service has the order. The daemon
-    must still see the order through, or a resend could never learn its outcome.
+    The caller disconnects after the service has received the order. The daemon must
+    still finish the order, or a resend could never get its outcome.
     Given a running fleet of 2 daemons
     And the order service takes 0.4 seconds
     When an order is sent and its caller leaves after 0.1 seconds
-    And the order is sent again through the other daemon until it is settled
+    And the order is sent again through the other daemon until it has an outcome
     Then the answer has status 201
     And the order ran 1 times
 
   Scenario: A shopper walks off, and then the daemon drains
-    An order without a key is running when its caller leaves and the daemon is
-    told to stop. Nobody will ask for its answer, but it must not be cut half-way.
+    An order without a key is running when its caller leaves and the daemon starts to
+    drain. Its response will not be asked for, but the order must not be interrupted.
     Given a running fleet of 1 daemons
     And the order service takes 0.6 seconds
     When an order without a key is sent, its caller leaves and the daemon drains
@@ -74,9 +73,9 @@
     Then both streams are equal byte for byte and the engine ran one chat
 
   Scenario: A caller leaves a keyed stream and asks for it again
-    A hostel's connection drops in the middle of a letter's summary. The summary
-    is finished without it, so that the resend gets all of it and the engine does
-    not compute it twice.
+    A caller's connection drops in the middle of a keyed stream. The daemon reads the
+    stream to its end, so that a resend gets all of it and the engine does not compute
+    it twice.
     Given a running fleet of 2 daemons
     When a keyed stream is left in the middle and asked for again elsewhere
-    Then all of the stream comes and the engine ran one chat
+    Then the complete stream arrives and the engine ran one chat
--- a/features/callers/steps/api.py
+++ b/features/callers/steps/api.py
@@ -1,4 +1,4 @@
-"""Steps on the callers' HTTP interface."""
+"""Steps of api.feature."""
 
 import asyncio
 import json
@@ -38,14 +38,14 @@
     return [whole.choices[0].message.content, "".join(parts)]
 
 
-@when("the openai client asks for a chat whole and streamed, async and sync")
+@when("the openai client asks for a chat unstreamed and streamed, async and sync")
 def when_openai_chat(context):
     texts = context.run(ask_async(context, "hello"))
     texts += context.run(asyncio.to_thread(ask_sync, context, "hello"))
     context.pairs = [(text, expected_chat("hello", 6)) for text in texts]
 
 
-@when("the openai client asks for a text completion whole and streamed")
+@when("the openai client asks for a text completion unstreamed and streamed")
 def when_openai_completion(context):
     async def ask():
         client = await context.stack.enter_async_context(openai_client(context))
@@ -58,7 +58,7 @@
     context.pairs.append(context.run(ask()))
 
 
-@then("all answers are whole and equal to the engine's text")
+@then("all responses are complete and equal to the engine's text")
 def then_equal(context):
     assert len(context.pairs) == 5
     for got, expected in context.pairs:
@@ -66,14 +66,14 @@
         assert got.strip()
 
 
-@then("the models answer names exactly the models of the customer")
+@then("the models response lists exactly the customer's models")
 def then_models(context):
     answer = context.run(call(context, "/v1/models"))
     assert [item["id"] for item in json.loads(answer.body)["data"]] == [context.model]
 
 
 async def stall(context):
-    """Send half a body and wait for the answer on the open connection."""
+    """Send part of a body and wait for the response on the open connection."""
     address = urllib.parse.urlsplit(context.urls[0])
     reader, writer = await asyncio.open_connection(address.hostname, address.port)
     head = f"POST {CHAT} HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n"
--- a/features/callers/steps/awaiting_steps.py
+++ b/features/callers/steps/awaiting_steps.py
@@ -21,7 +21,7 @@
 
 
 async def hold_through(answer, gate):
-    """Answer although the wait was cancelled, as a send does that has just ended."""
+    """Return the response despite a cancellation, as an attempt that has just ended."""
     try:
         await gate.wait()
     except asyncio.CancelledError:
@@ -29,13 +29,13 @@
     return Success(answer)
 
 
-@given("a send whose answer comes in the moment in which its caller {what}")
+@given("an attempt whose response arrives as its caller {what}")
 def step_moment(context, what):
     context.answer = CountedAnswer()
     context.what = what
 
 
-@given("a send whose answer comes in time")
+@given("an attempt whose response arrives in time")
 def step_in_time(context):
     context.answer = CountedAnswer()
     context.what = "waits"
@@ -61,18 +61,18 @@
         await asyncio.sleep(0)
 
 
-@when("it is waited for")
+@when("its response headers are awaited")
 def step_wait(context):
     asyncio.run(wait(context))
 
 
-@then("its answer is closed")
+@then("its response is closed")
 def step_closed(context):
     assert context.got is None
     assert context.answer.n_closed == 1, context.answer.n_closed
 
 
-@then("its answer is open, and is what was waited for")
+@then("its response is open and is returned")
 def step_open(context):
     assert context.got.unwrap() is context.answer
     assert context.answer.n_closed == 0
--- a/features/callers/steps/faults.py
+++ b/features/callers/steps/faults.py
@@ -1,4 +1,4 @@
-"""Steps on answers under failing engines, and on draining."""
+"""Steps of faults.feature: engine failures and draining."""
 
 import asyncio
 import json
@@ -53,8 +53,8 @@
     context.outcomes = context.run(run())
 
 
-@then("every chat is whole and its caller's own")
-def then_whole(context):
+@then("every chat is complete and matches its own prompt")
+def then_complete(context):
     bad = [outcome for outcome in context.outcomes if outcome is not None]
     assert not bad, bad
 
@@ -76,7 +76,7 @@
     context.answer = context.run(run())
 
 
-@then("the stream ends with an error event and without a final mark")
+@then("the stream ends with an error event and without [DONE]")
 def then_error_event(context):
     assert context.answer.status == 200
     assert b"[DONE]" not in context.answer.body
@@ -86,18 +86,18 @@
 
 
 @when("a request that crashes engines is sent {n:d} times through all daemons")
-def when_killer(context, n):
+def when_crashing(context, n):
     body = chat_body(context, "please kill-the-engine now")
     boots = {engine.boot_id for engine in context.fleet.standins.engines}
 
     async def run():
-        innocent = [
+        unrelated = [
             asyncio.create_task(chat(context, i, True, i % 3)) for i in range(9)
         ]
         for index in range(n):
             context.answer = await call(context, CHAT, body, daemon=index % 3)
             await asyncio.sleep(0.15)
-        return await asyncio.gather(*innocent, return_exceptions=True)
+        return await asyncio.gather(*unrelated, return_exceptions=True)
 
     context.outcomes = context.run(run())
     now = {engine.boot_id for engine in context.fleet.standins.engines}
@@ -114,9 +114,9 @@
     assert context.answer.code == code, context.answer
 
 
-@then("innocent chats sent meanwhile are whole")
-def then_innocent(context):
-    then_whole(context)
+@then("unrelated chats sent meanwhile are complete")
+def then_unrelated(context):
+    then_complete(context)
 
 
 @when("a caller leaves in the middle of a long stream")
@@ -142,7 +142,7 @@
     context.run(sleep_until(is_cancelled))
 
 
-@when("{n:d} streams run through the first daemon and it is told to drain")
+@when("{n:d} streams run through the first daemon and it starts to drain")
 def when_drain(context, n):
     first = context.fleet.daemons[0]
 
@@ -168,15 +168,15 @@
     context.outcomes = context.run(run())
 
 
-@then("its address leaves the other daemon's answer first")
+@then("the other daemon stops listing its address before it drains")
 def then_left_first(context):
     assert context.is_left_first
 
 
-@then("all {n:d} streams are whole")
-def then_streams_whole(context, n):
+@then("all {n:d} streams are complete")
+def then_streams_complete(context, n):
     assert len(context.outcomes) == n
-    then_whole(context)
+    then_complete(context)
 
 
 @then("new requests to it are refused as not executed")
@@ -193,8 +193,8 @@
         engine.resume_faults.add(Refused(status=404))
 
 
-@when("the same chat is sent until it is whole, at most {n:d} times")
-def when_until_whole(context, n):
+@when("the same chat is sent until it is complete, at most {n:d} times")
+def when_until_complete(context, n):
     body = chat_body(context, "again", max_tokens=N_TOKENS, stream=True)
 
     async def send():
@@ -207,8 +207,8 @@
     context.answer = context.run(send())
 
 
-@then("the last of them is whole")
-def then_last_whole(context):
+@then("the last response is complete")
+def then_last_complete(context):
     text, is_finished = streamed_text(context.answer.body)
     assert is_finished, context.answer
     assert text == expected_chat("again", N_TOKENS), text
@@ -236,7 +236,7 @@
     context.outcomes = [context.run(chat(context, 1, True))]
 
 
-@then("it is whole and no slot is taken")
+@then("it is complete and no slot is taken")
 def then_no_slot(context):
     assert context.outcomes == [None]
     status = context.fleet.daemons[0].traffic.dispatcher.status()
--- a/features/callers/steps/fleet.py
+++ b/features/callers/steps/fleet.py
@@ -1,4 +1,4 @@
-"""A running fleet and the calls that scenarios make on it."""
+"""A running fleet and the requests that scenarios send to it."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """One HTTP answer, read whole."""
+    """One HTTP response, read to its end."""
 
     status: int
     headers: dict
@@ -30,7 +30,7 @@
 
     @property
     def code(self):
-        """Return the code of an error answer."""
+        """Return the code of an error response."""
         return json.loads(self.body)["error"]["code"]
 
 
@@ -60,7 +60,7 @@
 
 
 async def call(context, path, body=None, key=None, headers=None, daemon=0):
-    """Send one request and read its answer; a dict becomes JSON."""
+    """Send one request and read its response; a dict is encoded as JSON."""
     data = json.dumps(body).encode() if isinstance(body, dict) else body
     sent = {"Content-Type": "application/json", **(headers or {})}
     if key is not False:
@@ -85,7 +85,7 @@
 
 
 def streamed_text(body):
-    """Return the text of a stream and whether it has its final mark."""
+    """Return the text of a stream and whether it ends with ``[DONE]``."""
     parts = []
     for line in body.split(b"\n"):
         if line.startswith(b"data: {"):
@@ -119,14 +119,14 @@
     assert context.answer.status == status, context.answer
 
 
-@then("it is marked as not executed and no engine saw it")
+@then("it is marked as not executed and no engine received it")
 def then_not_executed(context):
     assert context.answer.headers["Lycheepost-Executed"] == "no", context.answer
     assert n_runs(context) == 0
 
 
 async def sleep_until(condition, within_seconds=8.0):
-    """Wait for a condition that another task brings about."""
+    """Wait until another task makes a condition true."""
     async with asyncio.timeout(within_seconds):
         while not condition():
             await asyncio.sleep(0.01)
--- a/features/callers/steps/once.py
+++ b/features/callers/steps/once.py
@@ -1,4 +1,4 @@
-"""Steps on requests that must run at most once."""
+"""Steps of once.feature."""
 
 import asyncio
 import json
@@ -36,8 +36,8 @@
     return call(context, path, body, headers=headers, daemon=daemon)
 
 
-async def settled(context, daemon):
-    """Send an order again until it is no longer said to be in progress."""
+async def order_outcome(context, daemon):
+    """Send an order again until its response is no longer ``in_progress``."""
     for _ in range(100):
         answer = await order(context, daemon)
         if answer.status == 201 or answer.code != "in_progress":
@@ -119,7 +119,7 @@
 def when_sent_again(context):
     async def send():
         first = await order(context)
-        return first, await settled(context, 1)
+        return first, await order_outcome(context, 1)
 
     context.answer, context.resend = context.run(send())
 
@@ -146,13 +146,13 @@
     context.answer = context.run(order(context))
 
 
-@then("it is marked as not executed and tells when to come back")
+@then("it is marked as not executed and has a Retry-After header")
 def then_come_back(context):
     assert context.answer.headers["Lycheepost-Executed"] == "no"
     assert int(context.answer.headers["Retry-After"]) >= 1
 
 
-@when("the table service is back and the order is sent again")
+@when("the table service has recovered and the order is sent again")
 def when_back(context):
     context.fleet.standins.table.faults.is_down = False
 
@@ -198,9 +198,9 @@
     assert context.n_runs == n, context.n_runs
 
 
-@when("the order is sent again through the other daemon until it is settled")
+@when("the order is sent again through the other daemon until it has an outcome")
 def when_settled(context):
-    context.answer = context.run(settled(context, 1))
+    context.answer = context.run(order_outcome(context, 1))
 
 
 @when("a streamed chat is sent twice with one key through two daemons")
@@ -247,8 +247,8 @@
     context.answer = context.run(send())
 
 
-@then("all of the stream comes and the engine ran one chat")
-def then_whole_resend(context):
+@then("the complete stream arrives and the engine ran one chat")
+def then_complete_resend(context):
     assert context.answer.status == 200, context.answer
     assert streamed_text(context.answer.body) == (expected_chat("left", 60), True)
     assert n_runs(context) == 1
--- a/features/callers/steps/quota_steps.py
+++ b/features/callers/steps/quota_steps.py
@@ -68,7 +68,7 @@
     context.answer = refused[0]
 
 
-@then("no more of them ran than the quota allows, and one")
+@then("no more of them ran than the quota allows, plus one")
 def then_ran(context):
     allowed = context.burst + context.rate * context.took_seconds
     assert 0 < n_runs(context) <= allowed + 1.0, (n_runs(context), allowed)
@@ -81,7 +81,7 @@
     assert answer.status == 200, answer
 
 
-@when("it asks again after it was told to")
+@when("it asks again after the time of the Retry-After header")
 def when_again(context):
     async def ask():
         await asyncio.sleep(float(context.answer.headers["Retry-After"]))
@@ -95,7 +95,7 @@
     assert context.answer.status == 200, context.answer
 
 
-@when("it calls a service that nobody runs {n:d} times")
+@when("it calls a service that is not running {n:d} times")
 def when_unrun(context, n):
     async def ask():
         standins = context.fleet.standins
@@ -122,7 +122,7 @@
     context.answers = context.run(ask())
 
 
-@then("all get the first answer")
+@then("all get the first response")
 def then_same(context):
     assert {answer.status for answer in context.answers} == {201}, context.answers
     assert len({answer.body for answer in context.answers}) == 1
--- a/lycheepost/callers/flow.py
+++ b/lycheepost/callers/flow.py
@@ -95,7 +95,7 @@
         return await _answer_keyed(deps, keyed, checked, job, request)
     if checked.call.is_streamed:
         return await _answer_stream(deps, checked, job, request)
-    stored = await _run_whole(deps, checked, job)
+    stored = await _run_to_end(deps, checked, job)
     return _stored_response(stored, checked.answer_headers)
 
 
@@ -210,7 +210,7 @@
         _note_error(deps, checked, error)
         if not sink.has_begun:
             raise
-        await _end_broken(sink, error)
+        await _end_with_error(sink, error)
         return sink.response
     _note_finished(deps, checked, finished)
     if not finished.has_caller_left:
@@ -218,7 +218,7 @@
     return sink.response
 
 
-async def _end_broken(sink: LiveSink, error: CallerError) -> None:
+async def _end_with_error(sink: LiveSink, error: CallerError) -> None:
     """End a stream that cannot be completed with an explicit error.
 
     The connection stays open. Closing it would break the next request that the
@@ -231,7 +231,7 @@
         return
 
 
-async def _run_whole(
+async def _run_to_end(
     deps: CallerDeps, checked: CheckedRequest, job: Job
 ) -> StoredAnswer:
     """Run to the end and return the response in the form the caller asked for."""
@@ -270,7 +270,7 @@
         job.work.customer, key, job.work.fingerprint, checked.request_id
     )
     if not checked.call.is_streamed:
-        run = functools.partial(_run_whole, deps, checked, job)
+        run = functools.partial(_run_to_end, deps, checked, job)
         stored = await keyed.run_once(identity, run)
         return _stored_response(stored, checked.answer_headers)
     live = LiveSink(request, checked.answer_headers)
@@ -281,7 +281,7 @@
     except CallerError as error:
         if not live.has_begun:
             raise
-        await _end_broken(live, error)
+        await _end_with_error(live, error)
         return live.response
     if not live.has_begun:
         # A resend gets the stored stream, byte for byte.
@@ -314,7 +314,7 @@
             customer=CustomerId(checked.customer.customer),
             model=ModelId(checked.model.model),
             end=EndKind.CALLER_LEFT if finished.has_caller_left else EndKind.SUCCESS,
-            once=_once(checked, is_known=True),
+            once=_once_state(checked, is_known=True),
             ttft_seconds=finished.ttft_seconds,
             mean_gap_seconds=finished.token_gap_seconds,
         )
@@ -327,12 +327,12 @@
             customer=CustomerId(checked.customer.customer),
             model=ModelId(checked.model.model),
             end=end_of(error),
-            once=_once(checked, is_known=error.executed is not Executed.UNKNOWN),
+            once=_once_state(checked, is_known=error.executed is not Executed.UNKNOWN),
         )
     )
 
 
-def _once(checked: CheckedRequest, is_known: bool) -> OnceState:
+def _once_state(checked: CheckedRequest, is_known: bool) -> OnceState:
     if not checked.headers.is_marked_non_idempotent:
         return OnceState.NOT_ASKED
     return OnceState.KEPT if is_known else OnceState.UNKNOWN
--- a/lycheepost/callers/forwarding.py
+++ b/lycheepost/callers/forwarding.py
@@ -112,7 +112,7 @@
     ) -> None:
         self._deps = deps
         self._request = request
-        self._way = route_match
+        self._route_match = route_match
         self._relay = AnswerRelay(deps, request, route_match.route, caller)
         self._work = make_work(deps, request, route_match, route_table(deps))
         self._sends = Sends()
@@ -219,7 +219,7 @@
         self._sends = self._sends.add(end)
         self._is_sent = False
         remaining_seconds = self._remaining_seconds()
-        step = next_step(self._way.route, self._sends, end, remaining_seconds)
+        step = next_step(self._route_match.route, self._sends, end, remaining_seconds)
         if step is Step.TRY_AGAIN and self._relay.has_begun:
             can_continue = self._relay.can_continue
             step = step if can_continue else last_step(self._sends, AttemptEnd.CUT)
@@ -227,7 +227,7 @@
             case Step.TRY_AGAIN:
                 if self._relay.has_begun:
                     self._work = continued_work(
-                        self._work, self._way.route, self._elapsed_seconds()
+                        self._work, self._route_match.route, self._elapsed_seconds()
                     )
                 return True
             case Step.PASS_ON:
@@ -291,9 +291,11 @@
         # Check again before any byte is sent: while the request was queued, its key
         # may have been revoked or the confirmation of the configuration expired.
         identify(self._deps, self._request)
-        call = make_call(self._deps, self._request, self._way, listed, self._progress())
+        call = make_call(
+            self._deps, self._request, self._route_match, listed, self._progress()
+        )
         wait_seconds = first_byte_timeout_seconds(
-            self._way.route, self._sends, call.remaining_seconds
+            self._route_match.route, self._sends, call.remaining_seconds
         )
         target = listed.target
         sent_seconds = self._deps.clock.now_seconds()
@@ -322,7 +324,10 @@
         """Reserve a retry at another target before a silent one is abandoned."""
         lost = AttemptEnd.CUT if self._relay.has_begun else AttemptEnd.LOST
         step = next_step(
-            self._way.route, self._sends.add(lost), lost, self._remaining_seconds()
+            self._route_match.route,
+            self._sends.add(lost),
+            lost,
+            self._remaining_seconds(),
         )
         if step is not Step.TRY_AGAIN:
             return False
@@ -353,7 +358,7 @@
         try:
             timeouts = StreamTimeouts(
                 wait_seconds,
-                idle_timeout_seconds(self._way.route, self._sends),
+                idle_timeout_seconds(self._route_match.route, self._sends),
                 self._may_abandon,
             )
             result = await self._relay.relay(answer, timeouts, self._note_first)
@@ -411,7 +416,7 @@
         known = _FINISH_KINDS.get(end)
         if known is not None:
             return known
-        if self._way.route.kind is RouteKind.NON_IDEMPOTENT:
+        if self._route_match.route.kind is RouteKind.NON_IDEMPOTENT:
             return FinishKind.ANSWER_LOST
         if await self._deps.is_same_incarnation(listed):
             return FinishKind.ANSWER_LOST
