--- a/lycheepost/callers/exchange.py
+++ b/lycheepost/callers/exchange.py
@@ -82,7 +82,7 @@
     """The attempts at one job; one instance per request.
 
     Attributes:
-        executed: Whether a target may have run the job by now.
+        executed: Whether a target may have run the job.
     """
 
     def __init__(self, deps: CallerDeps, job: Job, sink: Sink) -> None:
--- a/lycheepost/callers/forwarddeps.py
+++ b/lycheepost/callers/forwarddeps.py
@@ -85,7 +85,7 @@
 
 
 class RoutingPort(Protocol):
-    """The route table in force and how fresh it is."""
+    """The current route table and when it was last confirmed."""
 
     table: RouteTable | None
     confirmed_seconds: float | None
@@ -126,15 +126,15 @@
     """The dependencies of forwarding.
 
     Attributes:
-        quotas: What customers may ask of the fleet.
+        quotas: The quotas of customers.
         kv_store_contents: Estimates which prefixes the KV stores hold.
         key_rule: How long keys may be trusted; read again for each request.
-        is_same_incarnation: Whether a target still is the start that it was when it was
-            sent to.
-        draw_split_point: Gives a number in [0, 1) to split traffic by.
+        is_same_incarnation: Asks whether a target has not restarted since the given
+            record of it was read.
+        draw_split_point: Draws a number in [0, 1) that chooses among split groups.
         on_answer_headers: Called with the headers of each response, for what they
             report of the target, with the target as it was sent to and the time.
-        is_backed_off: Whether a target wants no request from this daemon now.
+        is_backed_off: Whether a target has asked for a back-off that still lasts.
     """
 
     routing: RoutingPort
--- a/lycheepost/callers/forwarding.py
+++ b/lycheepost/callers/forwarding.py
@@ -321,7 +321,7 @@
         raise AssertionError("a result is a success or a failure")
 
     def _may_abandon(self) -> bool:
-        """Reserve a retry at another target before a silent one is abandoned."""
+        """Return whether to abandon a silent target; if so, a retry is reserved."""
         lost = AttemptEnd.CUT if self._relay.has_begun else AttemptEnd.LOST
         step = next_step(
             self._route_match.route,
--- a/lycheepost/callers/services.py
+++ b/lycheepost/callers/services.py
@@ -114,13 +114,13 @@
     is_idempotent = (
         request.method in _IDEMPOTENT_METHODS and not headers.is_marked_non_idempotent
     )
-    passed = [
+    forwarded = [
         (name, request.headers[name])
         for name in _FORWARDED_HEADERS
         if name in request.headers
     ]
-    passed.append((CUSTOMER_HEADER, customer))
-    passed.append(("X-Request-Id", request_id))
+    forwarded.append((CUSTOMER_HEADER, customer))
+    forwarded.append(("X-Request-Id", request_id))
     identity = f"{request.method} {name}{path}\n".encode()
     work = Work(
         request=request_id,
@@ -138,7 +138,7 @@
         is_idempotent=is_idempotent,
     )
     return CheckedRequest(
-        customer, headers, work, request.method, path or "/", tuple(passed), body
+        customer, headers, work, request.method, path or "/", tuple(forwarded), body
     )
 
 
