--- a/lycheepost/callers/forwarding.py
+++ b/lycheepost/callers/forwarding.py
@@ -1,8 +1,8 @@
-"""The way of one forwarded request.
+"""Serve one forwarded request.
 
-identify -> admit -> place -> send -> relay -> settle, over the same queue, placement
-and retry budget as every other request. ``decide.attempts`` says what follows a
-send that did not serve the caller.
+identify -> admit -> place -> send -> relay -> settle, with the same queue, placement
+and retry budget as every other request. ``decide.attempts`` decides what follows an
+attempt that did not serve the caller.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 import structlog
 from returns.result import Failure, Success
 
-from lycheepost.callers.awaiting import await_head
+from lycheepost.callers.awaiting import await_headers
 from lycheepost.callers.errors import CallerError, Executed, from_refusal
 from lycheepost.callers.forwardcalls import (
     Progress,
@@ -19,7 +19,7 @@
     make_charge,
     route_table,
 )
-from lycheepost.callers.forwarddeps import CallerSide, ForwardDeps, ForwardRequest
+from lycheepost.callers.forwarddeps import CallerConnection, ForwardDeps, ForwardRequest
 from lycheepost.callers.forwarderrors import (
     from_route_fault,
     key_unconfirmed,
@@ -30,9 +30,9 @@
 from lycheepost.callers.forwardwork import continued_work, make_work
 from lycheepost.callers.relaying import (
     AnswerRelay,
+    FirstByteTimeout,
     RelayEnd,
-    SilentTarget,
-    StreamPatience,
+    StreamTimeouts,
 )
 from lycheepost.core.ids import TargetId
 from lycheepost.core.routing import ListedTarget, RouteKind
@@ -51,14 +51,14 @@
 from lycheepost.targets.errors import TargetError, TargetUnreachable
 from lycheepost.targets.forward import ForwardAnswer
 
-RETRY_AFTER_SECONDS = 0.2
-"""After this a target that was busy or changing has mostly room again."""
+NOT_RUN_RETRY_SECONDS = 0.2
+"""By then a target that was busy or changing usually has capacity again."""
 
 DEADLINE_MARGIN_SECONDS = 0.02
-"""The answer that the time is up should reach the caller while it still listens."""
+"""Lets the time-out response reach the caller before its own deadline."""
 
-_REJECTION_BYTES = 65536
-"""A refusal is a short sentence."""
+_MAX_REJECTION_BYTES = 65536
+"""Rejections are short; a longer body is not read to its end."""
 
 _FINISH_KINDS = {
     AttemptEnd.NOT_SENT: FinishKind.TARGET_REFUSED,
@@ -70,22 +70,22 @@
 
 
 def identify(deps: ForwardDeps, request: ForwardRequest) -> RouteMatch:
-    """Return a request's way by the configuration in force now.
+    """Return a request's route and sender under the current configuration.
 
     Raises:
-        CallerError: It has none, or its key cannot be trusted now.
+        CallerError: No route matches, or the key is unknown or cannot be trusted now.
     """
     table = route_table(deps)
-    way = match_route(table, request.host, request.path, request.key)
-    if isinstance(way, RouteFault):
-        _check_fresh(deps, way is RouteFault.UNKNOWN_KEY)
-        raise from_route_fault(way)
-    _check_fresh(deps, way.is_keyed)
-    return way
+    route_match = match_route(table, request.host, request.path, request.key)
+    if isinstance(route_match, RouteFault):
+        _check_fresh(deps, route_match is RouteFault.UNKNOWN_KEY)
+        raise from_route_fault(route_match)
+    _check_fresh(deps, route_match.is_keyed)
+    return route_match
 
 
 def _check_fresh(deps: ForwardDeps, needs_key: bool) -> None:
-    """Refuse to judge by a key while the configuration may be outdated."""
+    """Refuse to decide by a key while the configuration may be outdated."""
     if not needs_key:
         return
     now_seconds = deps.clock.now_seconds()
@@ -94,53 +94,53 @@
 
 
 class Forwarding:
-    """The tries of one forwarded request; lives as long as it.
+    """The attempts at one forwarded request; one instance per request.
 
     Args:
-        deps: What forwarding stands on.
+        deps: The dependencies of forwarding.
         request: The caller's request.
-        way: Its route and sender.
-        caller: Where the answer goes.
+        route_match: Its route and sender.
+        caller: The connection that the response goes to.
     """
 
     def __init__(
         self,
         deps: ForwardDeps,
         request: ForwardRequest,
-        way: RouteMatch,
-        caller: CallerSide,
+        route_match: RouteMatch,
+        caller: CallerConnection,
     ) -> None:
         self._deps = deps
         self._request = request
-        self._way = way
-        self._relay = AnswerRelay(deps, request, way.route, caller)
-        self._work = make_work(deps, request, way, route_table(deps))
+        self._route_match = route_match
+        self._relay = AnswerRelay(deps, request, route_match.route, caller)
+        self._work = make_work(deps, request, route_match, route_table(deps))
         self._sends = Sends()
         self._is_sent = False
-        self._has_retry = False
-        self._charge = make_charge(deps, request, way)
-        until = way.route.timeout_seconds
-        if request.first_token_timeout_seconds is not None:
-            until = min(until, request.first_token_timeout_seconds)
-        self._until_seconds = request.arrived_seconds + until
+        self._has_reserved_retry = False
+        self._charge = make_charge(deps, request, route_match)
+        timeout_seconds = route_match.route.timeout_seconds
+        if request.caller_timeout_seconds is not None:
+            timeout_seconds = min(timeout_seconds, request.caller_timeout_seconds)
+        self._deadline_seconds = request.arrived_seconds + timeout_seconds
         self._log = _log.bind(
             request_id=request.caller_id,
-            route=way.route.name,
-            customer=way.holder.customer,
+            route=route_match.route.name,
+            customer=route_match.holder.customer,
         )
 
     @property
     def executed(self) -> Executed:
-        """Return whether a target may have run the request by now."""
+        """Return whether a target may have run the request."""
         if self._is_sent or self._sends.n_runs:
             return Executed.UNKNOWN
         return Executed.NO
 
     async def run(self) -> None:
-        """Serve the request, or raise why it is not served.
+        """Serve the request.
 
         Raises:
-            CallerError: Nothing has been sent to the caller yet.
+            CallerError: It is not served, and nothing has been sent to the caller yet.
         """
         remaining = self._remaining_seconds() - DEADLINE_MARGIN_SECONDS
         try:
@@ -154,7 +154,7 @@
                 has_begun=self._relay.has_begun,
             )
             if self._relay.has_begun:
-                self._relay.cut()
+                self._relay.abort()
                 return
             raise too_late(self.executed) from None
         except CallerError as error:
@@ -169,8 +169,8 @@
             )
             if not self._relay.has_begun:
                 raise
-            # An error's head in the middle of a stream would be read as part of it.
-            self._relay.cut()
+            # The headers of an error response would be read as part of the stream.
+            self._relay.abort()
         finally:
             self._charge.settle(self.executed)
 
@@ -179,7 +179,7 @@
         return round(now_seconds - self._request.arrived_seconds, 4)
 
     def _remaining_seconds(self) -> float:
-        return self._until_seconds - self._deps.clock.now_seconds()
+        return self._deadline_seconds - self._deps.clock.now_seconds()
 
     async def _serve(self) -> None:
         self._charge.take()
@@ -187,22 +187,22 @@
         while True:
             match outcome:
                 case Refuse():
-                    await self._end_refused(outcome)
+                    await self._handle_refusal(outcome)
                     return
                 case Dispatch():
                     end = await self._try_target(outcome)
             if end is None:
                 return
-            if not await self._goes_on(end):
+            if not await self._should_continue(end):
                 return
-            is_free = end is AttemptEnd.NOT_SENT or self._has_retry
-            self._has_retry = False
+            is_free = end is AttemptEnd.NOT_SENT or self._has_reserved_retry
+            self._has_reserved_retry = False
             outcome = await self._deps.dispatcher.readmit(self._work, is_free)
 
-    async def _end_refused(self, refusal: Refuse) -> None:
-        """End when the scheduler has no target for it."""
+    async def _handle_refusal(self, refusal: Refuse) -> None:
+        """End the request after the scheduler refused it."""
         if self._relay.has_begun:
-            self._relay.cut()
+            self._relay.abort()
             return
         if await self._relay.pass_on_failure():
             return
@@ -210,39 +210,39 @@
             raise outcome_unknown()
         raise from_refusal(refusal, Executed.NO)
 
-    async def _goes_on(self, end: AttemptEnd) -> bool:
-        """Judge a send that did not serve the caller; False when it is over.
+    async def _should_continue(self, end: AttemptEnd) -> bool:
+        """Return whether to try again after an attempt that did not serve the caller.
 
         Raises:
-            CallerError: It is over, and the caller has got nothing yet.
+            CallerError: No attempt follows, and nothing has been sent to the caller.
         """
         self._sends = self._sends.add(end)
         self._is_sent = False
         remaining_seconds = self._remaining_seconds()
-        step = next_step(self._way.route, self._sends, end, remaining_seconds)
+        step = next_step(self._route_match.route, self._sends, end, remaining_seconds)
         if step is Step.TRY_AGAIN and self._relay.has_begun:
-            can_go_on = self._relay.can_continue
-            step = step if can_go_on else last_step(self._sends, AttemptEnd.CUT)
+            can_continue = self._relay.can_continue
+            step = step if can_continue else last_step(self._sends, AttemptEnd.CUT)
         match step:
             case Step.TRY_AGAIN:
                 if self._relay.has_begun:
                     self._work = continued_work(
-                        self._work, self._way.route, self._elapsed_seconds()
+                        self._work, self._route_match.route, self._elapsed_seconds()
                     )
                 return True
             case Step.PASS_ON:
                 await self._relay.pass_on_failure()
             case Step.CUT_OFF:
-                self._relay.cut()
+                self._relay.abort()
             case Step.REFUSE:
-                raise not_run(RETRY_AFTER_SECONDS)
+                raise not_run(NOT_RUN_RETRY_SECONDS)
             case Step.GIVE_UP:
                 if not await self._relay.pass_on_failure():
                     raise outcome_unknown()
         return False
 
     async def _try_target(self, dispatch: Dispatch) -> AttemptEnd | None:
-        """Send to one target; None when the caller has its answer."""
+        """Send to one target; None when nothing more is due to the caller."""
         target = dispatch.target
         self._work = replace(self._work, excluded=self._work.excluded | {target})
         end: AttemptEnd | None = None
@@ -265,8 +265,8 @@
             reason = f"not sent: {error.code}"
             raise
         finally:
-            # A send that is cut short by the deadline stays counted as sent: the
-            # target may be at work, and "not run" would be untrue.
+            # An attempt that the deadline interrupts still counts as sent: the target
+            # may be running it, so reporting "not run" could be false.
             self._deps.dispatcher.finish(self._work.request, kind)
             now_seconds = self._deps.clock.now_seconds()
             self._log.info(
@@ -283,24 +283,26 @@
             )
 
     async def _send(self, listed: ListedTarget) -> tuple[AttemptEnd | None, str]:
-        """Send to one target and relay its answer.
+        """Send to one target and relay its response.
 
         Returns:
-            How it ended, None when the caller is served, and why.
+            How the attempt ended, None when nothing more is due, and the reason.
         """
-        # Last look before the bytes go out: the key may have been taken away, or
-        # its confirmation grown old, while the request waited.
+        # Check again before any byte is sent: while the request was queued, its key
+        # may have been revoked or the confirmation of the configuration expired.
         identify(self._deps, self._request)
-        call = make_call(self._deps, self._request, self._way, listed, self._progress())
+        call = make_call(
+            self._deps, self._request, self._route_match, listed, self._progress()
+        )
         wait_seconds = first_byte_timeout_seconds(
-            self._way.route, self._sends, call.remaining_seconds
+            self._route_match.route, self._sends, call.remaining_seconds
         )
         target = listed.target
         sent_seconds = self._deps.clock.now_seconds()
         self._is_sent = True
         try:
             send = self._deps.client.send(call)
-            sent = await await_head(send, wait_seconds, self._may_leave)
+            sent = await await_headers(send, wait_seconds, self._may_abandon)
         except TimeoutError:
             self._deps.targets.note_end(target, Ending.BAD)
             return AttemptEnd.LOST, "silent"
@@ -313,25 +315,28 @@
                 self._deps.targets.note_end(target, Ending.BAD)
                 return AttemptEnd.LOST, reason
             case Success(answer):
-                return await self._take_answer(
+                return await self._handle_answer(
                     listed, answer, wait_seconds, sent_seconds
                 )
         raise AssertionError("a result is a success or a failure")
 
-    def _may_leave(self) -> bool:
-        """Reserve a try at another target before a silent one is given up."""
+    def _may_abandon(self) -> bool:
+        """Return whether to abandon a silent target; if so, a retry is reserved."""
         lost = AttemptEnd.CUT if self._relay.has_begun else AttemptEnd.LOST
         step = next_step(
-            self._way.route, self._sends.add(lost), lost, self._remaining_seconds()
+            self._route_match.route,
+            self._sends.add(lost),
+            lost,
+            self._remaining_seconds(),
         )
         if step is not Step.TRY_AGAIN:
             return False
         if self._relay.has_begun and not self._relay.can_continue:
             return False
-        self._has_retry = self._deps.dispatcher.take_retry(self._work)
-        return self._has_retry
+        self._has_reserved_retry = self._deps.dispatcher.take_retry(self._work)
+        return self._has_reserved_retry
 
-    async def _take_answer(
+    async def _handle_answer(
         self,
         listed: ListedTarget,
         answer: ForwardAnswer,
@@ -340,7 +345,7 @@
     ) -> tuple[AttemptEnd | None, str]:
         target = listed.target
         head = answer.head
-        self._deps.on_head(listed, head, sent_seconds)
+        self._deps.on_answer_headers(listed, head, sent_seconds)
         if head.was_not_run or head.is_other_target:
             self._is_sent = False
             await self._read_rejection(answer)
@@ -351,13 +356,13 @@
                 target, self._work.model, head.weights_version
             )
         try:
-            patience = StreamPatience(
+            timeouts = StreamTimeouts(
                 wait_seconds,
-                idle_timeout_seconds(self._way.route, self._sends),
-                self._may_leave,
+                idle_timeout_seconds(self._route_match.route, self._sends),
+                self._may_abandon,
             )
-            result = await self._relay.take(answer, patience, self._note_first)
-        except SilentTarget:
+            result = await self._relay.relay(answer, timeouts, self._note_first)
+        except FirstByteTimeout:
             self._deps.targets.note_end(target, Ending.BAD)
             return AttemptEnd.LOST, "silent"
         finally:
@@ -368,16 +373,16 @@
         return result.end, result.value
 
     async def _read_rejection(self, answer: ForwardAnswer) -> None:
-        """Read a short refusal to its end, so that its connection can be kept."""
+        """Read a short rejection to its end, so that its connection can be reused."""
         try:
-            await answer.read_whole(_REJECTION_BYTES)
+            await answer.read_whole(_MAX_REJECTION_BYTES)
         except TargetError as error:
             self._log.info("forward: rejection broke off", reason=error.reason)
         finally:
             answer.close()
 
     def _progress(self) -> Progress:
-        """Return what this request has come to by now."""
+        """Return the current progress of the request."""
         return Progress(
             self._work.request, self._remaining_seconds(), self._relay.after_event
         )
@@ -386,7 +391,7 @@
         self._deps.dispatcher.first_token(self._work.request)
 
     def _note_rejection(self, target: TargetId, answer: ForwardAnswer) -> None:
-        """Learn from a target that did not run the request."""
+        """Update what is known of a target that did not run the request."""
         head = answer.head
         targets = self._deps.targets
         if not head.is_other_target:
@@ -400,18 +405,19 @@
     async def _finish_kind(
         self, listed: ListedTarget, end: AttemptEnd | None
     ) -> FinishKind:
-        """Return what the end of a send says of the target.
+        """Return how the end of an attempt is reported to the scheduler.
 
-        Only a target that is gone may have been killed by this request; two broken
-        connections must not put an innocent request into quarantine.
+        Only the loss of a target may be attributed to the request. If broken
+        connections counted as well, two of them would quarantine a request that
+        crashes no target.
         """
         if end is None:
             return FinishKind.COMPLETE
         known = _FINISH_KINDS.get(end)
         if known is not None:
             return known
-        if self._way.route.kind is RouteKind.NON_IDEMPOTENT:
+        if self._route_match.route.kind is RouteKind.NON_IDEMPOTENT:
             return FinishKind.ANSWER_LOST
-        if await self._deps.is_same_start(listed):
+        if await self._deps.is_same_incarnation(listed):
             return FinishKind.ANSWER_LOST
         return FinishKind.TARGET_LOST
--- a/lycheepost/callers/forwardwork.py
+++ b/lycheepost/callers/forwardwork.py
@@ -1,4 +1,4 @@
-"""Turn a forwarded request into the work that the decisions know."""
+"""Turn a forwarded request into the scheduler's ``Work`` record."""
 
 import math
 from dataclasses import replace
@@ -13,80 +13,89 @@
 from lycheepost.decide.silence import caller_stream_timeout_seconds
 
 RANK_STEPS = 3
-"""Ranks of routes told apart within one rank of a customer. Engines know ten ranks,
-and operators use three of each."""
+"""Number of route ranks within one customer rank. Engines accept ten ranks, and
+operators use three for customers and three for routes."""
 
 _PLAIN_OUTPUT_TOKENS = 1
-"""A plain service makes no tokens; one stands for the answer."""
+"""A plain service produces no tokens; its response counts as one."""
 
 
 def first_token_timeout_seconds(route: Route, request: ForwardRequest) -> float:
-    """Return how long the caller waits for the first part of its answer."""
-    patience = route.timeout_seconds
-    if request.first_token_timeout_seconds is not None:
-        patience = min(patience, request.first_token_timeout_seconds)
+    """Return how long the caller waits for the first part of its response."""
+    timeout_seconds = route.timeout_seconds
+    if request.caller_timeout_seconds is not None:
+        timeout_seconds = min(timeout_seconds, request.caller_timeout_seconds)
     if route.kind is not RouteKind.STREAM:
-        return patience
-    return min(patience, caller_stream_timeout_seconds(route))
+        return timeout_seconds
+    return min(timeout_seconds, caller_stream_timeout_seconds(route))
 
 
 def continued_work(work: Work, route: Route, elapsed_seconds: float) -> Work:
-    """Return the work of a stream whose caller has part of it already.
+    """Return the work of a stream whose caller has received part of it already.
 
-    The caller's patience begins anew with each part that it gets. Counted from its
-    arrival it is spent soon, and the rest of a long stream would be refused as too
-    late wherever there is a queue.
+    The caller's time-out restarts with each part that it receives. Counted from the
+    arrival it would soon have passed, and wherever there is a queue the rest of a long
+    stream would be refused as too late.
     """
-    patience = elapsed_seconds + caller_stream_timeout_seconds(route)
-    return replace(work, first_token_timeout_seconds=patience)
+    timeout_seconds = elapsed_seconds + caller_stream_timeout_seconds(route)
+    return replace(work, first_token_timeout_seconds=timeout_seconds)
 
 
 def _levels(
-    deps: ForwardDeps, way: RouteMatch, prompt: Prompt
+    deps: ForwardDeps, route_match: RouteMatch, prompt: Prompt
 ) -> tuple[PrefixLevel, ...]:
     """Return the levels under the newest weights that any target holds."""
     version = deps.targets.newest_weights(prompt.model)
-    return prompt_levels(make_scope(way.holder, version), prompt)
+    return prompt_levels(make_scope(route_match.holder, version), prompt)
 
 
-def rank_of(way: RouteMatch) -> int:
-    """Return how urgent a request is; a customer's rank goes before its route's."""
-    return way.route.rank if way.holder.rank is None else way.holder.rank
+def rank_of(route_match: RouteMatch) -> int:
+    """Return the rank of a request: the customer's if it has one, else the route's."""
+    return (
+        route_match.route.rank
+        if route_match.holder.rank is None
+        else route_match.holder.rank
+    )
 
 
-def engine_rank(way: RouteMatch) -> int:
-    """Return the rank that an engine is told; lower runs first.
+def engine_rank(route_match: RouteMatch) -> int:
+    """Return the rank that is sent to an engine; lower runs first.
 
-    A customer's rank goes first. Between requests of one rank the route's decides:
-    the engines hold both long prompts, which occupy them for a tenth of a second,
-    and short ones that would wait behind them.
+    Requests are ordered by ``rank_of`` and then by the rank of their route. A long
+    prompt occupies an engine for a tenth of a second; without the route's rank, short
+    prompts would wait behind long ones of the same customer rank.
     """
-    return RANK_STEPS * rank_of(way) + min(way.route.rank, RANK_STEPS - 1)
+    return RANK_STEPS * rank_of(route_match) + min(
+        route_match.route.rank, RANK_STEPS - 1
+    )
 
 
-def _priority(way: RouteMatch) -> Priority:
-    return Priority(min(rank_of(way), Priority.BATCH.value))
+def _priority(route_match: RouteMatch) -> Priority:
+    return Priority(min(rank_of(route_match), Priority.BATCH.value))
 
 
 def make_work(
-    deps: ForwardDeps, request: ForwardRequest, way: RouteMatch, table: RouteTable
+    deps: ForwardDeps,
+    request: ForwardRequest,
+    route_match: RouteMatch,
+    table: RouteTable,
 ) -> Work:
     """Return the work of a request on its route.
 
     Args:
-        deps: Gives the id and the point at which split traffic is divided.
+        deps: The dependencies of forwarding.
         request: The caller's request.
-        way: Its route and sender.
-        table: The configuration that the route is of.
+        route_match: Its route and sender.
+        table: The route table that contains the route.
     """
-    route = way.route
+    route = route_match.route
     prompt = request.prompt
-    group = choose_group(route, deps.pick_point())
+    group = choose_group(route, deps.draw_split_point())
     if table.groups.get(group) is None or table.groups[group].engine is None:
         prompt = None
     identity = f"{request.method} {request.host}{request.raw_path}\n".encode()
-    customer = way.holder.customer
-    levels = () if prompt is None else _levels(deps, way, prompt)
+    customer = route_match.holder.customer
+    levels = () if prompt is None else _levels(deps, route_match, prompt)
     return Work(
         request=deps.make_request_id(),
         customer=customer,
@@ -98,11 +107,13 @@
         output_tokens=(
             _PLAIN_OUTPUT_TOKENS if prompt is None else prompt.max_output_tokens
         ),
-        priority=_priority(way),
+        priority=_priority(route_match),
         arrived_seconds=request.arrived_seconds,
         first_token_timeout_seconds=first_token_timeout_seconds(route, request),
         fingerprint=fingerprint_body(customer, identity + request.body),
         is_idempotent=route.is_repeatable,
         objective_seconds=route.objective_seconds or math.inf,
-        kept_tokens=deps.kv_copies.kept_tokens(choose_kv_store(table, levels), levels),
+        kept_tokens=deps.kv_store_contents.kept_tokens(
+            choose_kv_store(table, levels), levels
+        ),
     )
--- a/lycheepost/callers/sinks.py
+++ b/lycheepost/callers/sinks.py
@@ -1,7 +1,7 @@
-"""Where the bytes of an answer go: to the caller, to memory, or to both.
+"""Destinations of the bytes of a response: the caller, memory, or both.
 
-All sinks take verified bytes in order. ``begin`` is called once, with the first
-bytes, so that an error before them can still be a plain HTTP error.
+All sinks take verified bytes in order. ``begin`` is called once, with the first bytes,
+so that an earlier error can still be sent as a plain HTTP error.
 """
 
 import structlog
@@ -23,10 +23,10 @@
 
 
 class LiveSink:
-    """Writes an answer to its caller as it comes.
+    """Writes a response to its caller as it arrives.
 
     Attributes:
-        response: The caller's response; prepared by the first bytes.
+        response: The caller's response; prepared with the first bytes.
     """
 
     def __init__(self, request: web.Request, headers: dict[str, str]) -> None:
@@ -37,23 +37,23 @@
         self.response.headers[EXECUTED_HEADER] = Executed.YES.value
 
     @property
-    def is_begun(self) -> bool:
-        """Tell whether the caller has got a status already."""
+    def has_begun(self) -> bool:
+        """Return whether the status has been sent to the caller."""
         return self.response.prepared
 
     async def begin(self, data: bytes) -> None:
-        """Send the headers, unless they went out before, and the first bytes."""
+        """Send the headers, unless they were sent before, and the first bytes."""
         if not self.response.prepared:
             await self.response.prepare(self._request)
         await self.response.write(data)
 
     async def pump(self, stream: EngineStream) -> RelayOutcome:
-        """Relay the rest of a stream at the caller's pace."""
+        """Relay the rest of a stream at the rate at which the caller reads."""
         return await relay(stream, self.response, self._request)
 
 
 class BufferSink:
-    """Keeps a whole answer in memory.
+    """Keeps a complete response in memory.
 
     Attributes:
         chunks: The bytes so far.
@@ -63,8 +63,8 @@
         self.chunks: list[bytes] = []
 
     @property
-    def is_begun(self) -> bool:
-        """Tell whether the caller has got a status already; never here."""
+    def has_begun(self) -> bool:
+        """Return whether the status has been sent to the caller; always False."""
         return False
 
     async def begin(self, data: bytes) -> None:
@@ -83,27 +83,27 @@
             await stream.cancel()
             raise
 
-    def whole(self) -> bytes:
+    def content(self) -> bytes:
         """Return all bytes."""
         return b"".join(self.chunks)
 
 
 class TeeSink:
-    """Writes to the caller and keeps the whole answer for resends.
+    """Writes to the caller and keeps the complete response for resends.
 
-    A caller that leaves does not end the answer: it belongs to a claimed key,
-    and the caller will ask for it again with that key.
+    A caller that leaves does not end the response: its key is claimed, and the caller
+    will ask for it again with that key.
     """
 
     def __init__(self, live: LiveSink) -> None:
         self._live = live
         self._buffer = BufferSink()
-        self._is_caller_gone = False
+        self._has_caller_left = False
 
     @property
-    def is_begun(self) -> bool:
-        """Tell whether the caller has got a status already."""
-        return self._live.is_begun
+    def has_begun(self) -> bool:
+        """Return whether the status has been sent to the caller."""
+        return self._live.has_begun
 
     async def begin(self, data: bytes) -> None:
         """Keep and send the first bytes."""
@@ -111,10 +111,10 @@
         try:
             await self._live.begin(data)
         except (ConnectionError, RuntimeError):
-            self._note_gone()
+            self._note_caller_left()
 
     async def pump(self, stream: EngineStream) -> RelayOutcome:
-        """Read a stream to its end; write as long as the caller is there."""
+        """Read a stream to its end; write while the caller is connected."""
         try:
             while (data := await stream.read()) is not None:
                 self._buffer.chunks.append(data)
@@ -123,21 +123,21 @@
         except StreamLost as error:
             return RelayLost(error)
 
-    def whole(self) -> bytes:
+    def content(self) -> bytes:
         """Return all bytes."""
-        return self._buffer.whole()
+        return self._buffer.content()
 
     async def _write(self, data: bytes) -> None:
-        if self._is_caller_gone:
+        if self._has_caller_left:
             return
         try:
             await self._live.response.write(data)
         except (ConnectionError, RuntimeError):
             # aiohttp raises RuntimeError once the response has been ended.
-            self._note_gone()
+            self._note_caller_left()
 
-    def _note_gone(self) -> None:
-        self._is_caller_gone = True
+    def _note_caller_left(self) -> None:
+        self._has_caller_left = True
         _log.info("callers: caller left a keyed answer; it is finished for resends")
 
 
