--- a/lycheepost/targets/continuation.py
+++ b/lycheepost/targets/continuation.py
@@ -13,7 +13,7 @@
 
 _EVENT_END = b"\n\n"
 _DONE = b"[DONE]"
-_COMPLETION_TOKENS = 16
+_DEFAULT_COMPLETION_TOKENS = 16
 """What the published API gives a text completion that names no limit."""
 _LIMIT_FIELDS = ("max_completion_tokens", "max_tokens")
 
@@ -44,7 +44,7 @@
             return None
         request["prompt"] += delivered_text
         limit_name = limit_name or "max_tokens"
-        limit = _COMPLETION_TOKENS if limit is None else limit
+        limit = _DEFAULT_COMPLETION_TOKENS if limit is None else limit
     else:
         if not _continue_chat(request, delivered_text):
             return None
@@ -96,10 +96,13 @@
         ready = b""
         for raw in events.split(_EVENT_END):
             data = parse_event(raw).data
-            if not data or self._is_opening(data):
+            if not data or self._is_role_chunk(data):
                 continue
             self.n_events += 1
-            ready += b"id: %d\ndata: %b\n\n" % (self.n_events, self._correct(data))
+            ready += b"id: %d\ndata: %b\n\n" % (
+                self.n_events,
+                self._correct_chunk_usage(data),
+            )
         return ready
 
     def correct_usage(self, usage: Usage) -> Usage:
@@ -111,7 +114,7 @@
             prompt_tokens_details=usage.prompt_tokens_details,
         )
 
-    def _is_opening(self, data: bytes) -> bool:
+    def _is_role_chunk(self, data: bytes) -> bool:
         """Tell the chunk that only names the role; the caller has had one."""
         if self._delivered.n_events == 0 or b'"role"' not in data:
             return False
@@ -120,7 +123,7 @@
         is_empty = not delta.get("content") and not choices[0].get("finish_reason")
         return bool(delta.get("role")) and is_empty
 
-    def _correct(self, data: bytes) -> bytes:
+    def _correct_chunk_usage(self, data: bytes) -> bytes:
         """Return a chunk whose usage, if it has one, counts the whole answer."""
         if data == _DONE or b'"usage"' not in data:
             return data
--- a/lycheepost/targets/control.py
+++ b/lycheepost/targets/control.py
@@ -22,7 +22,7 @@
 from lycheepost.utils.documents import decode_record, encode_record
 
 T = TypeVar("T")
-_ANSWER_SECONDS = 2.0
+_CALL_TIMEOUT_SECONDS = 2.0
 """Reports come from memory and orders are only noted, so a target that takes
 longer is in trouble, and waiting for it would make all reports old."""
 _MAX_ANSWER_BYTES = 8 * 1024 * 1024
@@ -77,7 +77,7 @@
             raise RuntimeError("the control client is not started")
         self.n_calls += 1
         try:
-            async with asyncio.timeout(_ANSWER_SECONDS):
+            async with asyncio.timeout(_CALL_TIMEOUT_SECONDS):
                 async with self._session.request(
                     method, url, data=body, headers=_JSON
                 ) as response:
--- a/lycheepost/targets/direct.py
+++ b/lycheepost/targets/direct.py
@@ -4,11 +4,11 @@
 woken by it, a resumed parser, a write that may wait) costs more than parsing and
 sending together. ``DirectReader`` is an ``aiohttp.StreamReader`` that hands each
 piece of the body on at once instead of keeping it. A reader that exists already
-is turned into one and back by ``divert`` and ``restore``; aiohttp's parser keeps
+is turned into one and back by ``attach_handler`` and ``detach_handler``; aiohttp's parser keeps
 calling the same public methods on it.
 
 This rests on aiohttp letting ``StreamReader`` be subclassed without new slots.
-``divert`` returns False where it does not, and the usual way is taken.
+``attach_handler`` returns False where it does not, and the usual way is taken.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Diversion:
+class BodyHandler:
     """Where the body goes.
 
     Attributes:
@@ -50,17 +50,17 @@
     def feed_eof(self) -> None:
         """Note the end of the body."""
         # Not super(): once restored this is no longer a DirectReader.
-        diversion = restore(self)
+        handler = detach_handler(self)
         StreamReader.feed_eof(self)
-        if diversion is not None:
-            diversion.on_end(None)
+        if handler is not None:
+            handler.on_end(None)
 
     def set_exception(self, exc: BaseException, *causes: BaseException) -> None:
         """Note that the connection broke."""
-        diversion = restore(self)
+        handler = detach_handler(self)
         StreamReader.set_exception(self, exc, *causes)
-        if diversion is not None:
-            diversion.on_end(exc)
+        if handler is not None:
+            handler.on_end(exc)
 
     def begin_http_chunk_receiving(self) -> None:
         """Note nothing: chunks of the transfer coding mean nothing here."""
@@ -69,8 +69,8 @@
         """Note nothing: chunks of the transfer coding mean nothing here."""
 
 
-def divert(reader: StreamReader, diversion: Diversion) -> bool:
-    """Send the rest of a body to ``diversion``; False if that cannot be.
+def attach_handler(reader: StreamReader, handler: BodyHandler) -> bool:
+    """Send the rest of a body to ``handler``; False if that cannot be.
 
     The reader must be empty, and no task may wait on it.
     """
@@ -80,15 +80,15 @@
         reader.__class__ = DirectReader
     except TypeError:
         return False
-    cast(DirectReader, reader)._waiter = diversion
+    cast(DirectReader, reader)._waiter = handler
     return True
 
 
-def restore(reader: StreamReader) -> Diversion | None:
+def detach_handler(reader: StreamReader) -> BodyHandler | None:
     """Let a diverted reader keep its data again."""
     if type(reader) is not DirectReader:
         return None
-    diversion: Diversion = reader._waiter
+    handler: BodyHandler = reader._waiter
     reader._waiter = None
     object.__setattr__(reader, "__class__", StreamReader)
-    return diversion
+    return handler
--- a/lycheepost/targets/events.py
+++ b/lycheepost/targets/events.py
@@ -10,15 +10,15 @@
 
 from lycheepost.targets.errors import TargetLost
 
-MOST_EVENT_BYTES = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 """Largest event that is held back. Events of a stream hold some words each, a
 thousandth of this."""
 
 _ID_LINE = re.compile(rb"(?:^|\n)id:[ ]?(\d+)\r?(?:\n|$)")
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 
 
-def _end_of_last(data: bytes, mark: bytes) -> int:
+def _end_after_last(data: bytes, mark: bytes) -> int:
     found = data.rfind(mark)
     return 0 if found < 0 else found + len(mark)
 
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self.last_id: int | None = None
         self.first_id: int | None = None
-        self._rest = b""
+        self._partial_event = b""
 
     def feed(self, data: bytes) -> bytes:
         """Take bytes and return those that end with a whole event.
@@ -42,10 +42,10 @@
         Raises:
             TargetLost: An event is larger than may be held back.
         """
-        held = self._rest + data
-        end = max(_end_of_last(held, mark) for mark in _ENDS)
-        whole, self._rest = held[:end], held[end:]
-        if len(self._rest) > MOST_EVENT_BYTES:
+        pending = self._partial_event + data
+        end = max(_end_after_last(pending, mark) for mark in _EVENT_ENDS)
+        whole, self._partial_event = pending[:end], pending[end:]
+        if len(self._partial_event) > MAX_EVENT_BYTES:
             raise TargetLost("an event of the stream does not end")
         ids = _ID_LINE.findall(whole)
         if ids:
@@ -55,10 +55,10 @@
 
     def flush(self) -> bytes:
         """Return what is left when the stream has ended as it should."""
-        rest, self._rest = self._rest, b""
+        rest, self._partial_event = self._partial_event, b""
         return rest
 
     def restart(self) -> None:
         """Drop the unfinished event; another target continues after ``last_id``."""
-        self._rest = b""
+        self._partial_event = b""
         self.first_id = None
--- a/lycheepost/targets/service.py
+++ b/lycheepost/targets/service.py
@@ -14,7 +14,7 @@
 
 _MAX_ANSWER_BYTES = 16 * 1024 * 1024
 """Largest answer that is passed on; a larger one must not fill the memory."""
-_HOP_HEADERS = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -79,7 +79,7 @@
         headers = [
             (name, value)
             for name, value in call.headers
-            if name.lower() not in _HOP_HEADERS
+            if name.lower() not in _HOP_BY_HOP_HEADERS
         ]
         session = self._sessions.choose(call.is_idempotent)
         url = yarl.URL(call.url + call.path, encoded=True)
@@ -94,7 +94,7 @@
             kept = tuple(
                 (name, value)
                 for name, value in response.headers.items()
-                if name.lower() not in _HOP_HEADERS
+                if name.lower() not in _HOP_BY_HOP_HEADERS
             )
             return ServiceAnswer(response.status, kept, body)
 
--- a/lycheepost/targets/session.py
+++ b/lycheepost/targets/session.py
@@ -5,7 +5,7 @@
 from lycheepost.generated.settings import StreamSettings
 
 
-async def _send_once(
+async def _prevent_resend(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
     """Keep aiohttp from sending a request again by itself.
@@ -44,7 +44,7 @@
         timeout=timeout,
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
-        middlewares=(_send_once,),
+        middlewares=(_prevent_resend,),
     )
 
 
@@ -84,17 +84,17 @@
         return session
 
 
-async def read_bounded(response: aiohttp.ClientResponse, most_bytes: int) -> bytes:
+async def read_bounded(response: aiohttp.ClientResponse, max_bytes: int) -> bytes:
     """Return a whole body.
 
     Raises:
-        aiohttp.ClientPayloadError: It is larger than ``most_bytes``.
+        aiohttp.ClientPayloadError: It is larger than ``max_bytes``.
     """
     parts = []
     n_bytes = 0
     async for part in response.content.iter_any():
         n_bytes += len(part)
-        if n_bytes > most_bytes:
+        if n_bytes > max_bytes:
             raise aiohttp.ClientPayloadError("the answer is too large")
         parts.append(part)
     return b"".join(parts)
--- a/lycheepost/targets/sse.py
+++ b/lycheepost/targets/sse.py
@@ -13,7 +13,7 @@
 
 MAX_EVENT_BYTES = 1 << 20
 """Largest event; one that never ends must not fill the daemon's memory."""
-_UNREAD_BYTES = 16 * 1024
+_MAX_UNPARSED_BYTES = 16 * 1024
 """Delivered events kept raw before their text is taken out. Most answers are
 shorter, so they are never parsed at all unless their target is lost."""
 _EVENT_END = b"\n\n"
@@ -143,32 +143,32 @@
         self.n_tokens = 0
         self._parts: list[str] = []
         self._is_only_text = True
-        self._unread: list[bytes] = []
-        self._unread_bytes = 0
+        self._unparsed: list[bytes] = []
+        self._unparsed_bytes = 0
 
     def add(self, events: bytes) -> None:
         """Note whole events; they are parsed later, or never."""
-        self._unread.append(events)
-        self._unread_bytes += len(events)
-        if self._unread_bytes > _UNREAD_BYTES:
-            self._read()
+        self._unparsed.append(events)
+        self._unparsed_bytes += len(events)
+        if self._unparsed_bytes > _MAX_UNPARSED_BYTES:
+            self._parse()
 
     def text(self) -> str | None:
         """Return the text so far; None when there is more than text."""
-        self._read()
+        self._parse()
         return "".join(self._parts) if self._is_only_text else None
 
-    def _read(self) -> None:
-        raw = b"".join(self._unread)
-        self._unread.clear()
-        self._unread_bytes = 0
+    def _parse(self) -> None:
+        raw = b"".join(self._unparsed)
+        self._unparsed.clear()
+        self._unparsed_bytes = 0
         # All chunks at once cost a third of one by one.
         chunks = [data for data in _split_data(raw) if data != _DONE]
         for chunk in _list_decoder.decode(b"[%b]" % b",".join(chunks)):
-            self._read_chunk(chunk)
+            self._parse_chunk(chunk)
         self._parts = ["".join(self._parts)]
 
-    def _read_chunk(self, chunk: Chunk) -> None:
+    def _parse_chunk(self, chunk: Chunk) -> None:
         for choice in chunk.choices:
             delta = choice.delta or Delta()
             if choice.index or choice.logprobs or delta.tool_calls:
@@ -199,14 +199,14 @@
         self.fault: BrokenStreamError | None = None
         self.delivered = DeliveredText()
         self._answer_id = answer_id
-        self._head = b'\ndata: {"id":"%b",' % answer_id.encode()
-        self._expected = b"id: 1" + self._head
-        self._tail = b""
+        self._data_prefix = b'\ndata: {"id":"%b",' % answer_id.encode()
+        self._expected_prefix = b"id: 1" + self._data_prefix
+        self._partial_event = b""
         self._last_data = b""
 
     def restart(self) -> None:
         """Forget a partial event and a fault; their connection is gone."""
-        self._tail = b""
+        self._partial_event = b""
         self.fault = None
 
     def feed(self, data: bytes) -> bytes:
@@ -219,27 +219,27 @@
         # The load here is 31,500 events a second on one core. A read that is
         # one whole event of this request with the next number needs no parsing.
         if (
-            data.startswith(self._expected)
-            and not self._tail
+            data.startswith(self._expected_prefix)
+            and not self._partial_event
             and self.fault is None
             and data.find(_EVENT_END) == len(data) - 2
         ):
             self._last_data = data
             self.n_events += 1
-            self._expected = b"id: %d%b" % (self.n_events + 1, self._head)
+            self._expected_prefix = b"id: %d%b" % (self.n_events + 1, self._data_prefix)
             self.delivered.add(data)
             return data
-        return self._feed_any(data)
+        return self._feed_slow_path(data)
 
     def _advance(self) -> None:
         self.n_events += 1
-        self._expected = b"id: %d%b" % (self.n_events + 1, self._head)
+        self._expected_prefix = b"id: %d%b" % (self.n_events + 1, self._data_prefix)
 
-    def _feed_any(self, data: bytes) -> bytes:
-        *events, self._tail = (self._tail + data).split(_EVENT_END)
+    def _feed_slow_path(self, data: bytes) -> bytes:
+        *events, self._partial_event = (self._partial_event + data).split(_EVENT_END)
         ready = []
         try:
-            if self.fault is None and len(self._tail) > MAX_EVENT_BYTES:
+            if self.fault is None and len(self._partial_event) > MAX_EVENT_BYTES:
                 raise BrokenStreamError("an event is too large")
             for raw in events if self.fault is None else ():
                 ready.append(self._check(raw + _EVENT_END))
@@ -248,7 +248,7 @@
             # Were it dropped, the resume would begin after it, and the caller
             # would miss words in the middle.
             self.fault = error
-            self._tail = b""
+            self._partial_event = b""
         checked = b"".join(ready)
         if checked:
             self.delivered.add(checked)
@@ -256,7 +256,7 @@
 
     def _check(self, raw: bytes) -> bytes:
         """Return one event as it may be delivered; nothing for a duplicate."""
-        if raw.startswith(self._expected) and not self.is_done:
+        if raw.startswith(self._expected_prefix) and not self.is_done:
             self._last_data = raw
             self._advance()
             return raw
--- a/lycheepost/targets/stream.py
+++ b/lycheepost/targets/stream.py
@@ -18,7 +18,7 @@
 from lycheepost.generated.settings import StreamSettings
 from lycheepost.targets.calls import EngineCall
 from lycheepost.targets.continuation import EventRewriter
-from lycheepost.targets.direct import Diversion, divert, restore
+from lycheepost.targets.direct import BodyHandler, attach_handler, detach_handler
 from lycheepost.targets.errors import StreamCrossed, StreamLost
 from lycheepost.targets.session import read_bounded
 from lycheepost.targets.sse import (
@@ -31,10 +31,10 @@
 )
 
 _log = structlog.get_logger(part="targets")
-_MAX_WHOLE_BYTES = 16 * 1024 * 1024
+_MAX_UNSTREAMED_BYTES = 16 * 1024 * 1024
 """Largest answer that is not streamed; 4,096 tokens with log probabilities take
 less than a tenth of it."""
-_END_SECONDS = 0.25
+_BODY_END_SECONDS = 0.25
 """Wait for the end of the HTTP body after ``[DONE]``, to reuse the connection."""
 
 
@@ -56,7 +56,7 @@
         """Tell the target to stop a call, without waiting for it."""
         ...
 
-    def forget(self, stream: "EngineStream") -> None:
+    def remove_stream(self, stream: "EngineStream") -> None:
         """Stop counting a stream that has ended."""
         ...
 
@@ -85,13 +85,13 @@
         self._content = response.content
         self._checker = EventChecker(call.answer_id)
         self._rewriter = EventRewriter(call.continues) if call.continues else None
-        self._tries_left = client.settings.resume_tries
+        self._resumes_left = client.settings.resume_tries
         self._is_waiting = False
-        self._stop: Callable[[BaseException | None], None] | None = None
-        self._quiet_since_seconds: float | None = None
+        self._stop_pump: Callable[[BaseException | None], None] | None = None
+        self._idle_since_seconds: float | None = None
         self._n_events_seen = 0
         self._n_events_recovered = 0
-        self._is_over = False
+        self._is_finished = False
 
     @property
     def n_events(self) -> int:
@@ -107,10 +107,10 @@
             StreamLost: The rest cannot be had from this target.
             StreamCrossed: The target sent another request's answer.
         """
-        if self._is_over:
+        if self._is_finished:
             return None
         if not self.call.expects_stream:
-            return await self._read_whole()
+            return await self._read_unstreamed()
         while not self._checker.is_done:
             ready = await self._read_events()
             if ready:
@@ -120,7 +120,7 @@
 
     async def cancel(self) -> None:
         """Stop reading and let the engine stop generating."""
-        if not self._is_over:
+        if not self._is_finished:
             self._close()
             self._client.cancel_later(self.call)
 
@@ -143,13 +143,13 @@
                     return False
             return True
         while not self._checker.is_done:
-            if not await self._pump_connection(write):
+            if not await self._pump_from_connection(write):
                 return False
-        if not self._is_over:
+        if not self._is_finished:
             await self._end()
         return True
 
-    async def _pump_connection(self, write: Callable[[bytes], bool]) -> bool:
+    async def _pump_from_connection(self, write: Callable[[bytes], bool]) -> bool:
         """Pump until the connection needs attention; False on a stop."""
         content = self._content
         ended: asyncio.Future[BaseException | None]
@@ -157,16 +157,16 @@
         is_stopped = False
 
         def stop(error: BaseException | None) -> None:
-            restore(content)
+            detach_handler(content)
             if not ended.done():
                 ended.set_result(error)
 
-        def take(data: bytes) -> None:
+        def handle_data(data: bytes) -> None:
             nonlocal is_stopped
             ready = checker.feed(data)
             if ready and not write(ready if rewrite is None else rewrite(ready)):
                 is_stopped = True
-                self._pause()
+                self._pause_reading()
                 stop(None)
             elif checker.fault is not None or checker.is_done:
                 stop(checker.fault)
@@ -181,17 +181,19 @@
         if content.exception() is None and (held := content.read_nowait()):
             ready = self._check(held)
             return not ready or write(ready)
-        if content.is_eof() or not divert(content, Diversion(take, stop)):
+        if content.is_eof() or not attach_handler(
+            content, BodyHandler(handle_data, stop)
+        ):
             ready = await self._read_events()
             return not ready or write(ready)
         self._is_waiting = True
-        self._stop = stop
+        self._stop_pump = stop
         try:
             error = await ended
         finally:
             self._is_waiting = False
-            self._stop = None
-            restore(content)
+            self._stop_pump = None
+            detach_handler(content)
         if is_stopped:
             return False
         if not checker.is_done:
@@ -205,22 +207,22 @@
         holds the stream up without any fault of the target's.
         """
         n_events = self._checker.n_events
-        is_quiet = self._is_waiting and n_events == self._n_events_seen
+        is_idle = self._is_waiting and n_events == self._n_events_seen
         self._n_events_seen = n_events
-        if not is_quiet:
-            self._quiet_since_seconds = None
+        if not is_idle:
+            self._idle_since_seconds = None
             return
-        if self._quiet_since_seconds is None:
-            self._quiet_since_seconds = now_seconds
+        if self._idle_since_seconds is None:
+            self._idle_since_seconds = now_seconds
             return
         settings = self._client.settings
         bound = settings.silence_seconds if n_events else settings.first_byte_seconds
-        if now_seconds - self._quiet_since_seconds > bound:
-            self._quiet_since_seconds = None
+        if now_seconds - self._idle_since_seconds > bound:
+            self._idle_since_seconds = None
             silence = TimeoutError("silent")
             self._content.set_exception(silence)
-            if self._stop is not None:
-                self._stop(silence)
+            if self._stop_pump is not None:
+                self._stop_pump(silence)
 
     def resume_reading(self) -> None:
         """Take from the target again after ``pump`` was stopped."""
@@ -228,7 +230,7 @@
         if connection is not None and connection.protocol is not None:
             connection.protocol.resume_reading()
 
-    def _pause(self) -> None:
+    def _pause_reading(self) -> None:
         connection = self._response.connection
         if connection is not None and connection.protocol is not None:
             connection.protocol.pause_reading()
@@ -269,16 +271,16 @@
         """
         reason = _describe(error)
         if isinstance(error, CrossedEventError):
-            raise self._lose(reason, is_crossed=True)
+            raise self._fail(reason, is_crossed=True)
         self._response.close()
         self._checker.restart()
         if self._checker.n_events > self._n_events_recovered:
             # Tries are counted without progress between them: a long answer
             # over a poor way may need many in all.
-            self._tries_left = self._client.settings.resume_tries
+            self._resumes_left = self._client.settings.resume_tries
             self._n_events_recovered = self._checker.n_events
-        while self._tries_left > 0:
-            self._tries_left -= 1
+        while self._resumes_left > 0:
+            self._resumes_left -= 1
             _log.info(
                 "targets: resuming a stream",
                 request=self.call.request,
@@ -291,13 +293,13 @@
             self._response = response
             self._content = response.content
             if response.headers.get("X-Request-Id") != self.call.request:
-                raise self._lose("a resume gave another request", is_crossed=True)
+                raise self._fail("a resume gave another request", is_crossed=True)
             if response.headers.get("X-Boot-Id") != self.boot_id:
-                raise self._lose("the target has restarted")
+                raise self._fail("the target has restarted")
             return
-        raise self._lose(reason)
+        raise self._fail(reason)
 
-    def _lose(self, reason: str, is_crossed: bool = False) -> StreamLost:
+    def _fail(self, reason: str, is_crossed: bool = False) -> StreamLost:
         self._close()
         self._client.cancel_later(self.call)
         kind = StreamCrossed if is_crossed else StreamLost
@@ -309,8 +311,8 @@
         return kind(reason, self.n_events, n_tokens, text)
 
     def _close(self) -> None:
-        self._is_over = True
-        self._client.forget(self)
+        self._is_finished = True
+        self._client.remove_stream(self)
         self._response.close()
 
     async def _end(self) -> None:
@@ -318,10 +320,10 @@
         self.usage = self._checker.usage
         if self._rewriter is not None and self.usage is not None:
             self.usage = self._rewriter.correct_usage(self.usage)
-        self._is_over = True
-        self._client.forget(self)
+        self._is_finished = True
+        self._client.remove_stream(self)
         try:
-            async with asyncio.timeout(_END_SECONDS):
+            async with asyncio.timeout(_BODY_END_SECONDS):
                 rest = await self._content.readany()
         except (aiohttp.ClientError, OSError, TimeoutError):
             rest = b"."
@@ -330,21 +332,21 @@
         else:
             self._response.release()
 
-    async def _read_whole(self) -> bytes:
+    async def _read_unstreamed(self) -> bytes:
         try:
             async with asyncio.timeout(self._client.settings.first_byte_seconds):
-                body = await read_bounded(self._response, _MAX_WHOLE_BYTES)
+                body = await read_bounded(self._response, _MAX_UNSTREAMED_BYTES)
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            raise self._lose(_describe(error)) from None
+            raise self._fail(_describe(error)) from None
         try:
             chunk: Chunk = decode_chunk(body)
         except (BrokenStreamError, msgspec.MsgspecError):
-            raise self._lose("the answer is not JSON of the expected form") from None
+            raise self._fail("the answer is not JSON of the expected form") from None
         if chunk.id != self.call.answer_id:
-            raise self._lose("the answer belongs to another request", is_crossed=True)
+            raise self._fail("the answer belongs to another request", is_crossed=True)
         self.usage = chunk.usage
-        self._is_over = True
-        self._client.forget(self)
+        self._is_finished = True
+        self._client.remove_stream(self)
         self._response.release()
         return body
 
