--- a/features/platform/steps/document_steps.py
+++ b/features/platform/steps/document_steps.py
@@ -38,7 +38,7 @@
 from lycheepost.state.watch import TableUpdate
 from lycheepost.targets.cachewatch import (
     CLEARED,
-    CacheNews,
+    CacheEventBatch,
     CacheSource,
     CacheWatch,
 )
@@ -332,7 +332,7 @@
     event = CacheEvent(sequence=1, kind=CacheEventKind.STORED, digest=5, n_tokens=9)
     context.event = event
     context.port = ScriptedEvents(
-        [CacheNews(1, 1, False, (event,)), CacheNews(2, 1, False, (event,))]
+        [CacheEventBatch(1, 1, False, (event,)), CacheEventBatch(2, 1, False, (event,))]
     )
     context.watch = CacheWatch(context.port, lambda _a, got: context.told.append(got))
 
@@ -351,7 +351,7 @@
         await asyncio.sleep(0.01)
         self.n_now -= 1
         self.whole.append(address)
-        return Success(CacheNews(1, 4000, False, ()))
+        return Success(CacheEventBatch(1, 4000, False, ()))
 
 
 @when("a daemon begins to follow {n:d} engines that keep thousands of events")
@@ -428,7 +428,7 @@
         if since > 0:
             await asyncio.sleep(3600)
         event = CacheEvent(sequence=9, kind=CacheEventKind.STORED, digest=5, n_tokens=9)
-        return Success(CacheNews(1, 9, False, (event,)))
+        return Success(CacheEventBatch(1, 9, False, (event,)))
 
 
 @then("the event counts for its new start, and was asked for from the beginning")
--- a/lycheepost/platform/cacheevents.py
+++ b/lycheepost/platform/cacheevents.py
@@ -8,7 +8,7 @@
 from lycheepost.decide.promptlevels import part_digest, split_scope
 from lycheepost.generated.engine import CacheEvent, CacheEventKind
 from lycheepost.platform.sessions import make_call_session
-from lycheepost.targets.cachewatch import CacheNews
+from lycheepost.targets.cachewatch import CacheEventBatch
 from lycheepost.targets.errors import TargetError, TargetLost
 from lycheepost.utils.decoding import UNREADABLE
 
@@ -54,7 +54,7 @@
 
     async def read_events(
         self, address: str, since: int
-    ) -> Result[CacheNews, TargetError]:
+    ) -> Result[CacheEventBatch, TargetError]:
         """Return the events after ``since``."""
         if self._session is None:
             raise RuntimeError("the session is not open")
@@ -71,13 +71,13 @@
             return Failure(TargetLost(f"no answer: {type(error).__name__}"))
 
 
-def _decode(body: bytes) -> Result[CacheNews, TargetError]:
+def _decode(body: bytes) -> Result[CacheEventBatch, TargetError]:
     try:
         wire = msgspec.json.decode(body, type=_WireNews)
     except UNREADABLE as error:
         return Failure(TargetError(f"events cannot be read: {error}"))
     events = tuple(_to_event(event) for event in wire.events)
-    return Success(CacheNews(wire.boot_epoch, wire.next, wire.lost, events))
+    return Success(CacheEventBatch(wire.boot_epoch, wire.next, wire.lost, events))
 
 
 def _to_event(wire: _WireEvent) -> CacheEvent:
--- a/lycheepost/targets/cachewatch.py
+++ b/lycheepost/targets/cachewatch.py
@@ -19,14 +19,14 @@
 from lycheepost.targets.errors import TargetError
 from lycheepost.utils.tasks import start_task
 
-PACE_SECONDS = 0.5
+POLL_INTERVAL_SECONDS = 0.5
 """Between two questions to one engine. Belief that is half a second old is as good:
 a part is kept for many seconds. Asking at every event would cost each engine and
 each daemon ten calls a second."""
 
-FAILED_SECONDS = 1.0
+RETRY_SECONDS = 1.0
 
-WHOLE_PAUSE_SECONDS = 0.3
+FULL_READ_PAUSE_SECONDS = 0.3
 """After each read of all events that an engine keeps. Engines keep thousands, a
 quarter of a megabyte. Read from six engines at once, they fill a link of 10 Mbit/s
 for longer than a call may take; the calls are then made anew, and no request passes
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CacheNews:
+class CacheEventBatch:
     """An answer to a question for cache events.
 
     Attributes:
@@ -72,7 +72,7 @@
 
     async def read_events(
         self, address: str, since: int
-    ) -> Result[CacheNews, TargetError]:
+    ) -> Result[CacheEventBatch, TargetError]:
         """Return the events after ``since``; held until there are some."""
         ...
 
@@ -96,7 +96,7 @@
         self._tasks: dict[CacheSource, asyncio.Task[None]] = {}
         self._is_started = False
         self._wanted: set[CacheSource] = set()
-        self._whole_reads = asyncio.Lock()
+        self._full_read_lock = asyncio.Lock()
 
     async def start(self) -> None:
         """Begin to follow."""
@@ -128,29 +128,31 @@
         address = source.address
         since = 0
         epoch: int | None = None
-        was_lost = False
+        is_failing = False
         while True:
             match await self._read(address, since):
-                case Success(news):
-                    if epoch is not None and news.epoch != epoch:
+                case Success(batch):
+                    if epoch is not None and batch.epoch != epoch:
                         _log.info("cache: restarted", address=address)
                         self._on_events(source, (CLEARED,))
-                    epoch, since = news.epoch, news.next_number
-                    was_lost = False
-                    if news.events:
-                        self._on_events(source, news.events)
-                    await asyncio.sleep(PACE_SECONDS)
+                    epoch, since = batch.epoch, batch.next_number
+                    is_failing = False
+                    if batch.events:
+                        self._on_events(source, batch.events)
+                    await asyncio.sleep(POLL_INTERVAL_SECONDS)
                 case Failure(error):
-                    if not was_lost:
+                    if not is_failing:
                         _log.info("cache: lost", address=address, reason=error.reason)
-                    was_lost = True
-                    await asyncio.sleep(FAILED_SECONDS)
+                    is_failing = True
+                    await asyncio.sleep(RETRY_SECONDS)
 
-    async def _read(self, address: str, since: int) -> Result[CacheNews, TargetError]:
+    async def _read(
+        self, address: str, since: int
+    ) -> Result[CacheEventBatch, TargetError]:
         """Ask one engine; for all that it keeps, only one engine at a time."""
         if since > 0:
             return await self._port.read_events(address, since)
-        async with self._whole_reads:
+        async with self._full_read_lock:
             answer = await self._port.read_events(address, since)
-            await asyncio.sleep(WHOLE_PAUSE_SECONDS)
+            await asyncio.sleep(FULL_READ_PAUSE_SECONDS)
         return answer
