--- a/features/targets/steps/reports.py
+++ b/features/targets/steps/reports.py
@@ -67,7 +67,7 @@
     context.seen = defaultdict(list)
     clock = SystemClock()
     callbacks = ObserverCallbacks(
-        on_sign=lambda target, sign: context.seen["signs"].append(sign),
+        on_signal=lambda target, sign: context.seen["signs"].append(sign),
         on_load=lambda report: context.seen["loads"].append(
             (clock.now_seconds(), report)
         ),
@@ -144,18 +144,18 @@
 @given("cache events 1 to 5 of one life were read")
 def given_cursor(context):
     context.cursor = EventCursor()
-    assert len(context.cursor.follow(events_of("a", 1, 5))) == 5
+    assert len(context.cursor.advance(events_of("a", 1, 5))) == 5
 
 
 @when('the answer to "after 5" holds events 6 to 8 of another life')
 def when_other_life(context):
-    context.taken = context.cursor.follow(events_of("b", 6, 8))
+    context.taken = context.cursor.advance(events_of("b", 6, 8))
 
 
 @then("none of them is taken, and after asking from the start all 8 are")
 def then_from_start(context):
     assert context.taken is None and context.cursor.sequence == 0
-    assert len(context.cursor.follow(events_of("b", 1, 8))) == 8
+    assert len(context.cursor.advance(events_of("b", 1, 8))) == 8
     assert context.cursor.n_lost == 0
 
 
--- a/features/targets/steps/reuse_steps.py
+++ b/features/targets/steps/reuse_steps.py
@@ -191,7 +191,7 @@
                     return
             try:
                 if answer.head.status == 200 and answer.head.is_sealed:
-                    body = await answer.read_whole(100_000)
+                    body = await answer.read_body(100_000)
                     if body != body_of(call.request):
                         seen.wrong.append((call.request, body))
             except TargetError:
--- a/lycheepost/app/traffic.py
+++ b/lycheepost/app/traffic.py
@@ -129,7 +129,7 @@
         control,
         clock,
         ObserverCallbacks(
-            on_sign=lambda target, sign: on_sign(target, sign),
+            on_signal=lambda target, sign: on_signal(target, sign),
             on_load=dispatcher.observe_load,
             on_events=dispatcher.observe_cache_events,
         ),
@@ -165,7 +165,7 @@
     )
     drain_state = DrainState()
 
-    def on_sign(target: TargetId, sign: TargetSignal) -> None:
+    def on_signal(target: TargetId, sign: TargetSignal) -> None:
         state.members.observe_target(target, sign, clock.now_seconds())
         feed.note_state(target, state.members.target_state(target))
 
--- a/lycheepost/targets/observe.py
+++ b/lycheepost/targets/observe.py
@@ -43,11 +43,11 @@
 from lycheepost.utils.tasks import start_task
 
 _log = structlog.get_logger(part="targets")
-_MOST_CALLS = 64
+_MAX_CALLS = 64
 """Calls in flight: targets that do not answer for two seconds must not hold up
 the reports of all others, nor pile up."""
-_LOOK_SECONDS = 0.05
-_REFRESH_SECONDS = 5.0
+_TICK_SECONDS = 0.05
+_PLAN_REFRESH_SECONDS = 5.0
 
 
 @dataclass(frozen=True)
@@ -55,12 +55,12 @@
     """Where reports go.
 
     Attributes:
-        on_sign: Gets what an answer, or its lack, says of a target's state.
+        on_signal: Gets what an answer, or its lack, says of a target's state.
         on_load: Gets load reports.
         on_events: Gets a target's boot id and its cache events in order.
     """
 
-    on_sign: Callable[[TargetId, TargetSignal], None]
+    on_signal: Callable[[TargetId, TargetSignal], None]
     on_load: Callable[[LoadReport], None]
     on_events: Callable[[TargetId, Incarnation, tuple[CacheEvent, ...]], None]
 
@@ -77,7 +77,7 @@
     sequence: int = 0
     n_lost: int = 0
 
-    def follow(self, answer: CacheEvents) -> tuple[CacheEvent, ...] | None:
+    def advance(self, answer: CacheEvents) -> tuple[CacheEvent, ...] | None:
         """Take an answer; None when it must be asked for again from the start.
 
         A new boot id means that the engine came back empty and counts from 1
@@ -92,8 +92,8 @@
         fresh = [item for item in answer.events if item.sequence > self.sequence]
         fresh.sort(key=lambda item: item.sequence)
         if fresh:
-            n_spanned = fresh[-1].sequence - self.sequence
-            self.n_lost += n_spanned - len(fresh)
+            n_published = fresh[-1].sequence - self.sequence
+            self.n_lost += n_published - len(fresh)
             self.sequence = fresh[-1].sequence
         return tuple(fresh)
 
@@ -144,7 +144,7 @@
         """Return counts for the status page."""
         return {
             "n_targets": len(self._urls),
-            "poll_slowness": self._plan.slowness,
+            "poll_slowness": self._plan.period_factor,
             "n_events_lost": sum(item.n_lost for item in self._cursors.values()),
             **self._control.status(),
         }
@@ -173,54 +173,54 @@
         refreshed_seconds = self._clock.now_seconds()
         while True:
             now_seconds = self._clock.now_seconds()
-            if now_seconds - refreshed_seconds > _REFRESH_SECONDS:
+            if now_seconds - refreshed_seconds > _PLAN_REFRESH_SECONDS:
                 refreshed_seconds = now_seconds
                 self._plan.refresh()
             for poll in self._plan.take_due(now_seconds):
-                self._begin(poll)
-            await asyncio.sleep(_LOOK_SECONDS)
+                self._start_poll(poll)
+            await asyncio.sleep(_TICK_SECONDS)
 
-    def _begin(self, poll: Poll) -> None:
+    def _start_poll(self, poll: Poll) -> None:
         # A target that has not yet answered the last call is not asked again.
-        if poll in self._calls or len(self._calls) >= _MOST_CALLS:
+        if poll in self._calls or len(self._calls) >= _MAX_CALLS:
             return
-        task = asyncio.create_task(self._ask(poll))
+        task = asyncio.create_task(self._poll(poll))
         self._calls[poll] = task
         task.add_done_callback(lambda done: self._calls.pop(poll, None))
 
-    async def _ask(self, poll: Poll) -> None:
+    async def _poll(self, poll: Poll) -> None:
         url = self._urls.get(poll.target)
         if url is None:
             return
         match poll.kind:
             case ReportKind.HEALTH:
                 health = await self._control.read(f"{url}/health", EngineHealth)
-                self._take_health(poll.target, health)
+                self._handle_health(poll.target, health)
             case ReportKind.LOAD:
                 load = await self._control.read(f"{url}/load", EngineLoad)
-                self._take_load(poll.target, load)
+                self._handle_load(poll.target, load)
             case ReportKind.EVENTS:
-                await self._ask_events(poll.target, url)
+                await self._read_events(poll.target, url)
 
-    def _take_health(
+    def _handle_health(
         self, target: TargetId, answer: Result[EngineHealth, TargetError]
     ) -> None:
         match answer:
             case Success(health):
-                self._note_boot(target, health.boot_id)
-                self._callbacks.on_sign(target, connected_signal())
+                self._note_incarnation(target, health.boot_id)
+                self._callbacks.on_signal(target, connected_signal())
                 state = _STATES[health.state]
-                self._callbacks.on_sign(target, health_signal(state))
+                self._callbacks.on_signal(target, health_signal(state))
             case Failure(TargetUnreachable()):
-                self._callbacks.on_sign(target, refused_signal())
+                self._callbacks.on_signal(target, refused_signal())
                 self.recheck(target)
 
-    def _take_load(
+    def _handle_load(
         self, target: TargetId, answer: Result[EngineLoad, TargetError]
     ) -> None:
         match answer:
             case Success(load):
-                self._note_boot(target, load.boot_id)
+                self._note_incarnation(target, load.boot_id)
                 now_seconds = self._clock.now_seconds()
                 self._callbacks.on_load(
                     LoadReport(
@@ -234,19 +234,19 @@
                     )
                 )
 
-    async def _ask_events(self, target: TargetId, url: str) -> None:
+    async def _read_events(self, target: TargetId, url: str) -> None:
         cursor = self._cursors.setdefault(target, EventCursor())
         address = f"{url}/events?after={cursor.sequence}"
         match await self._control.read(address, CacheEvents):
             case Success(answer):
-                self._take_events(target, cursor, answer)
+                self._handle_events(target, cursor, answer)
 
-    def _take_events(
+    def _handle_events(
         self, target: TargetId, cursor: EventCursor, answer: CacheEvents
     ) -> None:
         n_lost = cursor.n_lost
-        events = cursor.follow(answer)
-        self._note_boot(target, answer.boot_id)
+        events = cursor.advance(answer)
+        self._note_incarnation(target, answer.boot_id)
         if events is None:
             return  # The next call starts at the new incarnation's first event.
         if cursor.n_lost > n_lost:
@@ -257,7 +257,7 @@
             )
         self._callbacks.on_events(target, Incarnation(answer.boot_id), events)
 
-    def _note_boot(self, target: TargetId, boot_id: str) -> None:
+    def _note_incarnation(self, target: TargetId, boot_id: str) -> None:
         known = self._incarnations.get(target)
         if known is not None and known != boot_id:
             _log.info("targets: target has restarted", target=target)
--- a/lycheepost/targets/pollplan.py
+++ b/lycheepost/targets/pollplan.py
@@ -16,7 +16,7 @@
 
 from lycheepost.core.ids import TargetId
 
-_IDLE_SLOWNESS = 10.0
+_IDLE_PERIOD_FACTOR = 10.0
 """A target without work of ours harms nobody by a late health answer."""
 _JITTER_SHARE = 0.2
 """Daemons that start together must not ask a target all at once for good."""
@@ -71,13 +71,13 @@
         self._due: list[tuple[float, int, Poll]] = []
         self._rechecks: dict[TargetId, float] = {}
         self._n_pushed = 0
-        self._slowness = 1.0
-        self._is_small = True
+        self._period_factor = 1.0
+        self._fits_budget = True
 
     @property
-    def slowness(self) -> float:
+    def period_factor(self) -> float:
         """Return by how much the budget stretches every period; 1 for not."""
-        return self._slowness
+        return self._period_factor
 
     def replace_targets(self, targets: Iterable[TargetId], now_seconds: float) -> None:
         """Follow the fleet; new targets become due within their first period."""
@@ -88,7 +88,7 @@
                 delay = period * self._random.random()
                 self._push(Poll(target, kind), now_seconds + delay)
         self._targets = wanted
-        self._measure()
+        self._update_period_factor()
 
     def take_due(self, now_seconds: float) -> list[Poll]:
         """Return the reports that are due, and plan the next of each."""
@@ -97,7 +97,7 @@
             poll = heapq.heappop(self._due)[2]
             if poll.target not in self._targets:
                 continue
-            is_in_use = self._is_small or self._is_in_use(poll.target)
+            is_in_use = self._fits_budget or self._is_in_use(poll.target)
             if is_in_use or poll.kind is ReportKind.HEALTH:
                 taken.append(poll)
             self._push(poll, now_seconds + self._next_delay(poll, is_in_use))
@@ -110,7 +110,7 @@
         restart together, each further moment refuses every caller. The budget
         stretches this wait as it does all others.
         """
-        due_seconds = now_seconds + _RECHECK_SECONDS * self._slowness
+        due_seconds = now_seconds + _RECHECK_SECONDS * self._period_factor
         self._rechecks.setdefault(target, due_seconds)
 
     def _take_rechecks(self, now_seconds: float) -> list[Poll]:
@@ -130,29 +130,29 @@
 
     def refresh(self) -> None:
         """Measure again which targets are in use."""
-        self._measure()
+        self._update_period_factor()
 
     def _push(self, poll: Poll, due_seconds: float) -> None:
         self._n_pushed += 1
         heapq.heappush(self._due, (due_seconds, self._n_pushed, poll))
 
     def _next_delay(self, poll: Poll, is_in_use: bool) -> float:
-        period = self._settings.period_seconds[poll.kind] * self._slowness
+        period = self._settings.period_seconds[poll.kind] * self._period_factor
         if poll.kind is ReportKind.HEALTH and not is_in_use:
-            period *= _IDLE_SLOWNESS
+            period *= _IDLE_PERIOD_FACTOR
         return period * (1 + _JITTER_SHARE * (self._random.random() - 0.5))
 
-    def _measure(self) -> None:
+    def _update_period_factor(self) -> None:
         """Stretch all periods by what the budget lacks."""
         periods = self._settings.period_seconds
         full_rate = sum(1 / periods[kind] for kind in ReportKind)
-        idle_rate = 1 / (periods[ReportKind.HEALTH] * _IDLE_SLOWNESS)
-        self._is_small = (
+        idle_rate = 1 / (periods[ReportKind.HEALTH] * _IDLE_PERIOD_FACTOR)
+        self._fits_budget = (
             len(self._targets) * full_rate <= self._settings.calls_per_second
         )
         n_in_use = sum(
-            self._is_small or self._is_in_use(target) for target in self._targets
+            self._fits_budget or self._is_in_use(target) for target in self._targets
         )
         n_idle = len(self._targets) - n_in_use
         wanted = n_in_use * full_rate + n_idle * idle_rate
-        self._slowness = max(1.0, wanted / self._settings.calls_per_second)
+        self._period_factor = max(1.0, wanted / self._settings.calls_per_second)
