--- a/lycheepost/app/notices.py
+++ b/lycheepost/app/notices.py
@@ -23,7 +23,7 @@
 from lycheepost.peers.exchange import PeerExchange
 from lycheepost.peers.notice_messages import leaving_of, limits_of, to_message
 from lycheepost.state.targetlist import TargetList
-from lycheepost.targets.forwardcall import AnswerHead
+from lycheepost.targets.forwardcall import ResponseHead
 from lycheepost.utils.metrics import Metrics
 from lycheepost.utils.tasks import start_task
 
@@ -116,7 +116,7 @@
         return self._clock.now_seconds() < until_seconds
 
     def note_headers(
-        self, sent_to: ListedTarget, head: AnswerHead, sent_seconds: float
+        self, sent_to: ListedTarget, head: ResponseHead, sent_seconds: float
     ) -> None:
         """Apply the notice in the headers of a response."""
         if head.is_other_target:
--- a/lycheepost/app/platformtraffic.py
+++ b/lycheepost/app/platformtraffic.py
@@ -43,7 +43,7 @@
 from lycheepost.state.routing import RoutingManager
 from lycheepost.state.targetlist import TargetList
 from lycheepost.targets.forward import ForwardClient
-from lycheepost.targets.forwardcall import AnswerHead
+from lycheepost.targets.forwardcall import ResponseHead
 from lycheepost.utils.metrics import Metrics
 
 CONNECT_SECONDS = 0.25
@@ -177,7 +177,7 @@
     client = ForwardClient(streams, ServerDialect())
     orders = ServerOrders(notices.note_call)
 
-    def on_head(sent_to: ListedTarget, head: AnswerHead, sent_seconds: float) -> None:
+    def on_head(sent_to: ListedTarget, head: ResponseHead, sent_seconds: float) -> None:
         _report_load(loads, clock, sent_to, head)
         notices.note_headers(sent_to, head, sent_seconds)
 
@@ -289,7 +289,7 @@
 
 
 def _report_load(
-    loads: LoadExchange, clock: Clock, sent_to: ListedTarget, head: AnswerHead
+    loads: LoadExchange, clock: Clock, sent_to: ListedTarget, head: ResponseHead
 ) -> None:
     """Pass the load in a response's headers to the scheduler."""
     if head.load is None:
--- a/lycheepost/callers/awaiting.py
+++ b/lycheepost/callers/awaiting.py
@@ -12,9 +12,9 @@
 from returns.result import Result, Success
 
 from lycheepost.targets.errors import TargetError
-from lycheepost.targets.forward import ForwardAnswer
+from lycheepost.targets.forward import ForwardResponse
 
-Sent = Result[ForwardAnswer, TargetError]
+Sent = Result[ForwardResponse, TargetError]
 
 
 async def await_head(
--- a/lycheepost/callers/forwardcalls.py
+++ b/lycheepost/callers/forwardcalls.py
@@ -10,7 +10,7 @@
 from lycheepost.core.routing import ListedTarget, Prompt, RouteTable
 from lycheepost.decide.promptlevels import make_scope, prompt_levels
 from lycheepost.decide.routes import RouteMatch, choose_kv_store
-from lycheepost.targets.forwardcall import EngineTerms, ForwardCall
+from lycheepost.targets.forwardcall import EngineOptions, ForwardCall
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
 
 def _engine_terms(
     deps: ForwardDeps, way: RouteMatch, prompt: Prompt, listed: ListedTarget
-) -> EngineTerms:
+) -> EngineOptions:
     """Return what an engine is told of a prompt: its weights, scope and KV store."""
     version = deps.targets.weights_of(listed.target, prompt.model)
     version = version or WeightsVersion("")
@@ -98,7 +98,7 @@
     is_sent = bool(store) and deps.kv_copies.should_send(
         store, levels, deps.clock.now_seconds()
     )
-    return EngineTerms(
+    return EngineOptions(
         model=prompt.model,
         cache_scope=str(scope),
         weights_version=version,
--- a/lycheepost/callers/forwarddeps.py
+++ b/lycheepost/callers/forwarddeps.py
@@ -18,7 +18,7 @@
 from lycheepost.decide.kvstorecontents import KvStoreContents
 from lycheepost.decide.targethealth import Ending
 from lycheepost.targets.forward import ForwardClient
-from lycheepost.targets.forwardcall import AnswerHead
+from lycheepost.targets.forwardcall import ResponseHead
 from lycheepost.utils.metrics import Metrics
 
 
@@ -59,7 +59,7 @@
 class CallerSide(Protocol):
     """The connection to the caller; it gets one answer."""
 
-    async def begin(self, head: AnswerHead, length: int | None) -> None:
+    async def begin(self, head: ResponseHead, length: int | None) -> None:
         """Send the head; ``length`` is the size of the body when it is known.
 
         Raises:
@@ -149,5 +149,5 @@
     is_same_start: Callable[[ListedTarget], Awaitable[bool]]
     make_request_id: Callable[[], RequestId]
     pick_point: Callable[[], float]
-    on_head: Callable[[ListedTarget, AnswerHead, float], None]
+    on_head: Callable[[ListedTarget, ResponseHead, float], None]
     is_backed_off: Callable[[TargetId], bool]
--- a/lycheepost/callers/forwarding.py
+++ b/lycheepost/callers/forwarding.py
@@ -49,7 +49,7 @@
 from lycheepost.decide.silence import first_byte_timeout_seconds, idle_timeout_seconds
 from lycheepost.decide.targethealth import Ending
 from lycheepost.targets.errors import TargetError, TargetUnreachable
-from lycheepost.targets.forward import ForwardAnswer
+from lycheepost.targets.forward import ForwardResponse
 
 RETRY_AFTER_SECONDS = 0.2
 """After this a target that was busy or changing has mostly room again."""
@@ -334,7 +334,7 @@
     async def _take_answer(
         self,
         listed: ListedTarget,
-        answer: ForwardAnswer,
+        answer: ForwardResponse,
         wait_seconds: float,
         sent_seconds: float,
     ) -> tuple[AttemptEnd | None, str]:
@@ -367,10 +367,10 @@
             self._deps.targets.note_end(target, ending)
         return result.end, result.value
 
-    async def _read_rejection(self, answer: ForwardAnswer) -> None:
+    async def _read_rejection(self, answer: ForwardResponse) -> None:
         """Read a short refusal to its end, so that its connection can be kept."""
         try:
-            await answer.read_whole(_REJECTION_BYTES)
+            await answer.read_body(_REJECTION_BYTES)
         except TargetError as error:
             self._log.info("forward: rejection broke off", reason=error.reason)
         finally:
@@ -385,7 +385,7 @@
     def _note_first(self) -> None:
         self._deps.dispatcher.first_token(self._work.request)
 
-    def _note_rejection(self, target: TargetId, answer: ForwardAnswer) -> None:
+    def _note_rejection(self, target: TargetId, answer: ForwardResponse) -> None:
         """Learn from a target that did not run the request."""
         head = answer.head
         targets = self._deps.targets
--- a/lycheepost/callers/relaying.py
+++ b/lycheepost/callers/relaying.py
@@ -18,8 +18,8 @@
 from lycheepost.decide.attempts import AttemptEnd
 from lycheepost.targets.errors import TargetError
 from lycheepost.targets.events import EventSplitter
-from lycheepost.targets.forward import ForwardAnswer
-from lycheepost.targets.forwardcall import AnswerHead
+from lycheepost.targets.forward import ForwardResponse
+from lycheepost.targets.forwardcall import ResponseHead
 
 MOST_ANSWER_BYTES = 8 * 1024 * 1024
 """Largest whole answer held in memory; a larger one is told as a failure."""
@@ -76,7 +76,7 @@
 
 
 async def read_patiently(
-    answer: ForwardAnswer, wait_seconds: float | None, may_leave: Callable[[], bool]
+    answer: ForwardResponse, wait_seconds: float | None, may_leave: Callable[[], bool]
 ) -> bytes | None:
     """Return the next bytes of an answer; None after its end.
 
@@ -117,7 +117,7 @@
         self._route = route
         self._caller = caller
         self._splitter = EventSplitter()
-        self._failure: tuple[AnswerHead, bytes] | None = None
+        self._failure: tuple[ResponseHead, bytes] | None = None
 
     @property
     def after_event(self) -> int | None:
@@ -132,7 +132,7 @@
 
     async def take(
         self,
-        answer: ForwardAnswer,
+        answer: ForwardResponse,
         patience: StreamPatience,
         on_first: Callable[[], None],
     ) -> RelayEnd:
@@ -159,11 +159,11 @@
         return await self._relay_whole(answer, on_first)
 
     async def _relay_whole(
-        self, answer: ForwardAnswer, on_first: Callable[[], None]
+        self, answer: ForwardResponse, on_first: Callable[[], None]
     ) -> RelayEnd:
         on_first()
         try:
-            body = await answer.read_whole(MOST_ANSWER_BYTES)
+            body = await answer.read_body(MOST_ANSWER_BYTES)
         except TargetError as error:
             self._log_broken(error)
             return RelayEnd.BROKEN
@@ -172,7 +172,7 @@
             return RelayEnd.FAILED
         return await self._send_whole(answer.head, body)
 
-    async def _send_whole(self, head: AnswerHead, body: bytes) -> RelayEnd:
+    async def _send_whole(self, head: ResponseHead, body: bytes) -> RelayEnd:
         self._note_begun()
         try:
             await self._caller.begin(head, len(body))
@@ -192,7 +192,7 @@
 
     async def _relay_stream(
         self,
-        answer: ForwardAnswer,
+        answer: ForwardResponse,
         patience: StreamPatience,
         on_first: Callable[[], None],
     ) -> RelayEnd:
@@ -219,7 +219,7 @@
         return RelayEnd.SERVED
 
     async def _read_first(
-        self, answer: ForwardAnswer, patience: StreamPatience
+        self, answer: ForwardResponse, patience: StreamPatience
     ) -> bytes | None:
         try:
             return await read_patiently(
@@ -229,7 +229,7 @@
             raise SilentTarget from None
 
     async def _read_next(
-        self, answer: ForwardAnswer, patience: StreamPatience
+        self, answer: ForwardResponse, patience: StreamPatience
     ) -> bytes | None:
         return await read_patiently(answer, patience.gap_seconds, patience.may_leave)
 
@@ -241,7 +241,7 @@
         first_id = self._splitter.first_id
         return after_id is None or first_id is None or first_id > after_id
 
-    async def _send_events(self, head: AnswerHead, events: bytes) -> None:
+    async def _send_events(self, head: ResponseHead, events: bytes) -> None:
         if not events:
             return
         if not self.has_begun:
@@ -257,7 +257,7 @@
             self.longest_gap_seconds = max(self.longest_gap_seconds, gap_seconds)
         self._last_part_seconds = now_seconds
 
-    async def _finish_stream(self, head: AnswerHead) -> None:
+    async def _finish_stream(self, head: ResponseHead) -> None:
         if not self.has_begun:
             self._note_begun()
             await self._caller.begin(head, None)
--- a/lycheepost/operators/weightsrollout.py
+++ b/lycheepost/operators/weightsrollout.py
@@ -38,7 +38,7 @@
 from lycheepost.targets.weightsport import (
     LoadWeights,
     OrderAnswer,
-    RunsMeanwhile,
+    RunningRequestPolicy,
     TargetReport,
     WeightsPort,
 )
@@ -312,7 +312,7 @@
             LoadWeights(
                 model=order.model,
                 version=order.version,
-                runs=RunsMeanwhile.GO_ON,
+                runs=RunningRequestPolicy.CONTINUE,
                 holder=self._daemon,
                 fencing_number=lease.fencing_number,
                 expected_orders=report.n_orders,
--- a/lycheepost/platform/dialect.py
+++ b/lycheepost/platform/dialect.py
@@ -10,10 +10,10 @@
 from lycheepost.platform import headers as names
 from lycheepost.platform.unknownheaders import UnknownHeaders
 from lycheepost.targets.forwardcall import (
-    AnswerHead,
-    EngineTerms,
+    EngineOptions,
     ForwardCall,
-    SaidLoad,
+    ReportedLoad,
+    ResponseHead,
 )
 
 MISDIRECTED_STATUS = 421
@@ -46,7 +46,7 @@
 
     def decode(
         self, call: ForwardCall, status: int, headers: list[tuple[str, str]]
-    ) -> AnswerHead:
+    ) -> ResponseHead:
         """Return the head of an answer to ``call``."""
         found = CIMultiDict(headers)
         self._unknown.note(found)
@@ -54,10 +54,10 @@
         target = found.get(names.TARGET)
         weights = count_of(found.get(names.WEIGHTS, ""))
         is_other = status == MISDIRECTED_STATUS
-        return AnswerHead(
+        return ResponseHead(
             status=status,
             headers=passed_back(headers),
-            answers_other=_answers_other(found, asked_id),
+            answers_other_request=_answers_other(found, asked_id),
             is_sealed=names.SEAL in found,
             is_encoded=found.get("Content-Encoding", "identity") != "identity",
             was_not_run=names.NOT_RUN in found,
@@ -82,7 +82,7 @@
     return answered_id != asked_id
 
 
-def _engine_headers(terms: EngineTerms) -> list[tuple[str, str]]:
+def _engine_headers(terms: EngineOptions) -> list[tuple[str, str]]:
     headers = [
         (names.CACHE_SCOPE, terms.cache_scope),
         (names.RANK, str(min(terms.rank, names.MOST_RANK))),
@@ -108,14 +108,14 @@
     )
 
 
-def decode_load(text: str) -> SaidLoad | None:
+def decode_load(text: str) -> ReportedLoad | None:
     """Return the load that a server states; None when it states none.
 
     Some servers state more figures behind these three.
     """
     match [count_of(word) for word in text.split(",")]:
         case [int(n_running), int(n_waiting), int(n_slots), *_]:
-            return SaidLoad(n_running, n_waiting, n_slots)
+            return ReportedLoad(n_running, n_waiting, n_slots)
     return None
 
 
--- a/lycheepost/platform/ingress.py
+++ b/lycheepost/platform/ingress.py
@@ -20,7 +20,7 @@
 from lycheepost.platform import headers as names
 from lycheepost.platform.dialect import count_of, header_number
 from lycheepost.state.initial_reads import InitialReads
-from lycheepost.targets.forwardcall import AnswerHead
+from lycheepost.targets.forwardcall import ResponseHead
 
 UNCONFIGURED_BYTES = 4 * 1024 * 1024
 """Largest body before a configuration says more: what operators allow where they
@@ -63,7 +63,7 @@
         self._is_leaving = is_leaving
         self.response: web.StreamResponse | None = None
 
-    async def begin(self, head: AnswerHead, length: int | None) -> None:
+    async def begin(self, head: ResponseHead, length: int | None) -> None:
         """Send the head."""
         response = web.StreamResponse(
             status=head.status, headers=CIMultiDict(head.headers)
--- a/lycheepost/platform/orders.py
+++ b/lycheepost/platform/orders.py
@@ -21,7 +21,7 @@
 from lycheepost.targets.weightsport import (
     LoadWeights,
     OrderAnswer,
-    RunsMeanwhile,
+    RunningRequestPolicy,
     TargetReport,
 )
 from lycheepost.utils.decoding import UNREADABLE
@@ -33,9 +33,9 @@
 """A connection takes a few milliseconds; half of the call is left for the answer."""
 
 _MODES = {
-    RunsMeanwhile.FINISH_FIRST: "block",
-    RunsMeanwhile.CUT: "truncate",
-    RunsMeanwhile.GO_ON: "retain",
+    RunningRequestPolicy.FINISH_FIRST: "block",
+    RunningRequestPolicy.ABORT: "truncate",
+    RunningRequestPolicy.CONTINUE: "retain",
 }
 _ANSWERS = {
     200: OrderAnswer.ALREADY,
--- a/lycheepost/targets/engine.py
+++ b/lycheepost/targets/engine.py
@@ -28,13 +28,13 @@
 from lycheepost.utils.tasks import start_task
 
 _log = structlog.get_logger(part="targets")
-_REFUSAL_BYTES = 16 * 1024
+_MAX_REJECTION_BYTES = 16 * 1024
 """Most of a refusal's body that is kept for the caller."""
 _CANCEL_SECONDS = 2.0
-_IN_USE_SECONDS = 60.0
+_IN_USE_WINDOW_SECONDS = 60.0
 """A target stays of interest this long after its last request; hot prefixes
 shift within minutes."""
-_MOST_CANCELS = 1000
+_MAX_CANCELS = 1000
 """Cancel calls in flight; a dead target must not pile them up without bound.
 One that is left out only costs the engine the rest of one answer."""
 
@@ -54,7 +54,7 @@
     async def start(self) -> None:
         """Open the connection pool and the watch over silent streams."""
         self._session = make_session(self.settings)
-        self._watch_task = start_task(self._watch(), "engine-watch")
+        self._watch_task = start_task(self._watch_silence(), "engine-watch")
 
     async def drain(self) -> None:
         """Wait for cancel calls in flight; streams belong to their requests."""
@@ -77,7 +77,7 @@
     def is_in_use(self, target: TargetId) -> bool:
         """Tell whether this daemon sent a request to a target lately."""
         used_seconds = self._used_seconds.get(target, float("-inf"))
-        return self._clock.now_seconds() - used_seconds < _IN_USE_SECONDS
+        return self._clock.now_seconds() - used_seconds < _IN_USE_WINDOW_SECONDS
 
     async def start_call(self, call: EngineCall) -> Result[EngineStream, TargetError]:
         """Send a request and wait for the engine's response headers.
@@ -99,7 +99,7 @@
             return Failure(TargetLost("the target sent nothing in time"))
         except (aiohttp.ClientError, OSError):
             return Failure(TargetLost("the connection broke before an answer"))
-        return await self._accept(call, response)
+        return await self._check_response(call, response)
 
     async def resume(
         self, call: EngineCall, last_event: int
@@ -110,7 +110,7 @@
             The response, or None when the target cannot be reached or no
             longer knows the stream.
         """
-        headers = {"Last-Event-ID": str(last_event), **_PLAIN_ENCODING}
+        headers = {"Last-Event-ID": str(last_event), **_IDENTITY_ENCODING}
         url = f"{call.url}/v1/streams/{call.request}"
         try:
             async with asyncio.timeout(self.settings.silence_seconds):
@@ -124,13 +124,13 @@
 
     def cancel_later(self, call: EngineCall) -> None:
         """Tell a target to stop a request, without waiting for it."""
-        if len(self._cancels) >= _MOST_CANCELS:
+        if len(self._cancels) >= _MAX_CANCELS:
             return
         task = asyncio.create_task(self._cancel(call.url, call.request))
         self._cancels.add(task)
         task.add_done_callback(self._cancels.discard)
 
-    def forget(self, stream: EngineStream) -> None:
+    def remove_stream(self, stream: EngineStream) -> None:
         """Watch a stream no longer."""
         self._streams.discard(stream)
 
@@ -177,7 +177,7 @@
             "Content-Type": "application/json",
             "X-Request-Id": call.request,
             "X-Weights-Version": call.weights_version,
-            **_PLAIN_ENCODING,
+            **_IDENTITY_ENCODING,
         }
         if call.levels:
             headers["X-Prefix-Digests"] = ",".join(
@@ -187,11 +187,11 @@
             call.url + call.path, data=call.body, headers=headers
         )
 
-    async def _accept(
+    async def _check_response(
         self, call: EngineCall, response: aiohttp.ClientResponse
     ) -> Result[EngineStream, TargetError]:
         if response.status != 200:
-            return Failure(await self._read_refusal(call, response))
+            return Failure(await self._read_rejection(call, response))
         fault = check_headers(call, response)
         if fault:
             # The answer is somebody else's, or from other weights than the
@@ -204,12 +204,12 @@
         self._streams.add(stream)
         return Success(stream)
 
-    async def _read_refusal(
+    async def _read_rejection(
         self, call: EngineCall, response: aiohttp.ClientResponse
     ) -> TargetError:
         try:
             async with asyncio.timeout(self.settings.silence_seconds):
-                body = await response.content.read(_REFUSAL_BYTES)
+                body = await response.content.read(_MAX_REJECTION_BYTES)
         except (aiohttp.ClientError, OSError, TimeoutError):
             body = b""
         response.release()
@@ -230,7 +230,7 @@
             # nobody reads for a while.
             _log.info("targets: cancel did not arrive", request=request)
 
-    async def _watch(self) -> None:
+    async def _watch_silence(self) -> None:
         """Wake streams whose connection has been silent for too long.
 
         One task looks at all streams a few times per bound, because a timer per
@@ -244,7 +244,7 @@
                 stream.check_silence(now)
 
 
-_PLAIN_ENCODING = {"Accept-Encoding": "identity"}
+_IDENTITY_ENCODING = {"Accept-Encoding": "identity"}
 
 
 def check_headers(call: EngineCall, response: aiohttp.ClientResponse) -> str:
--- a/lycheepost/targets/forward.py
+++ b/lycheepost/targets/forward.py
@@ -13,28 +13,28 @@
 
 from lycheepost.generated.settings import StreamSettings
 from lycheepost.targets.errors import TargetError, TargetLost, TargetUnreachable
-from lycheepost.targets.forwardcall import AnswerHead, Dialect, ForwardCall
+from lycheepost.targets.forwardcall import Dialect, ForwardCall, ResponseHead
 from lycheepost.targets.session import SessionPair
 
 _NO_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 """aiohttp would add them; the target must get the caller's headers and no others."""
 
 
-class AnswerBroken(TargetLost):
+class ResponseTruncated(TargetLost):
     """An answer that had begun did not come to its end."""
 
 
-class ForwardAnswer:
+class ForwardResponse:
     """An answer whose head has come.
 
     Attributes:
         head: The decoded head.
     """
 
-    def __init__(self, head: AnswerHead, response: aiohttp.ClientResponse) -> None:
+    def __init__(self, head: ResponseHead, response: aiohttp.ClientResponse) -> None:
         self.head = head
         self._response = response
-        self._is_whole = False
+        self._is_complete = False
         connection = response.connection
         protocol = None if connection is None else connection.protocol
         # Asked for now: once the connection is lost it can no longer be told how.
@@ -44,7 +44,7 @@
         """Return the next bytes of the body, or None after a whole body.
 
         Raises:
-            AnswerBroken: The connection broke before the end of the body.
+            ResponseTruncated: The connection broke before the end of the body.
         """
         try:
             data = await self._response.content.readany()
@@ -53,8 +53,8 @@
             await self._check_end()
         except (aiohttp.ClientError, OSError) as error:
             self.close()
-            raise AnswerBroken("the answer broke off") from error
-        self._is_whole = True
+            raise ResponseTruncated("the answer broke off") from error
+        self._is_complete = True
         return None
 
     async def _check_end(self) -> None:
@@ -68,19 +68,19 @@
             # A read that is given up must not end the future for the next one.
             await asyncio.shield(self._closed)
 
-    async def read_whole(self, most_bytes: int) -> bytes:
+    async def read_body(self, max_bytes: int) -> bytes:
         """Return the whole body.
 
         Raises:
-            AnswerBroken: It broke off or is larger than ``most_bytes``.
+            ResponseTruncated: It broke off or is larger than ``max_bytes``.
         """
         parts: list[bytes] = []
         n_bytes = 0
         while (data := await self.read()) is not None:
             n_bytes += len(data)
-            if n_bytes > most_bytes:
+            if n_bytes > max_bytes:
                 self.close()
-                raise AnswerBroken("the answer is too large")
+                raise ResponseTruncated("the answer is too large")
             parts.append(data)
         return b"".join(parts)
 
@@ -89,7 +89,7 @@
 
         The target sees that and stops its work.
         """
-        if not self._is_whole:
+        if not self._is_complete:
             self._response.close()
 
 
@@ -122,7 +122,7 @@
         """Return counts for the status page."""
         return {"n_calls": self.n_calls, "n_stale_answers": self.n_stale_answers}
 
-    async def send(self, call: ForwardCall) -> Result[ForwardAnswer, TargetError]:
+    async def send(self, call: ForwardCall) -> Result[ForwardResponse, TargetError]:
         """Send a call and wait for the head of its answer.
 
         The caller of this bounds the wait by cancelling it.
@@ -140,13 +140,13 @@
             return Failure(TargetLost(f"no answer: {type(error).__name__}"))
         headers = [(name, value) for name, value in response.headers.items()]
         head = self._dialect.decode(call, response.status, headers)
-        if head.answers_other:
+        if head.answers_other_request:
             # The extra answer to an earlier request of this connection. Ours may
             # come behind it, but what else does nobody can tell.
             self.n_stale_answers += 1
             response.close()
             return Failure(TargetLost("the answer belongs to another request"))
-        return Success(ForwardAnswer(head, response))
+        return Success(ForwardResponse(head, response))
 
     async def _open(self, call: ForwardCall) -> aiohttp.ClientResponse:
         session = self._sessions.choose(call.may_reuse_connection)
--- a/lycheepost/targets/forwardcall.py
+++ b/lycheepost/targets/forwardcall.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineTerms:
+class EngineOptions:
     """What an engine is told beside the caller's request.
 
     Attributes:
@@ -59,13 +59,13 @@
     body: bytes
     remaining_seconds: float
     customer: CustomerId
-    engine: EngineTerms | None = None
+    engine: EngineOptions | None = None
     after_event: int | None = None
     may_reuse_connection: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class SaidLoad:
+class ReportedLoad:
     """The load that a target states in an answer."""
 
     n_running: int
@@ -74,12 +74,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """The head of a target's answer.
 
     Attributes:
         headers: Those that go to the caller, as they came.
-        answers_other: It is the answer to another request.
+        answers_other_request: It is the answer to another request.
         is_sealed: The target vouches for the answer.
         is_encoded: The body is not as the target's program wrote it.
         was_not_run: The target says that it did not run the request and will not.
@@ -92,7 +92,7 @@
 
     status: int
     headers: tuple[tuple[str, str], ...]
-    answers_other: bool
+    answers_other_request: bool
     is_sealed: bool
     is_encoded: bool
     was_not_run: bool
@@ -100,7 +100,7 @@
     has_length: bool
     target: TargetId | None = None
     weights_version: WeightsVersion | None = None
-    load: SaidLoad | None = None
+    load: ReportedLoad | None = None
     notice: TargetNotice = NO_NOTICE
 
 
@@ -113,6 +113,6 @@
 
     def decode(
         self, call: ForwardCall, status: int, headers: list[tuple[str, str]]
-    ) -> AnswerHead:
+    ) -> ResponseHead:
         """Return the head of an answer to ``call``."""
         ...
--- a/lycheepost/targets/relay.py
+++ b/lycheepost/targets/relay.py
@@ -36,13 +36,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayCallerGone:
+class RelayCallerLeft:
     """The caller left; the engine was told to stop."""
 
     n_events: int
 
 
-RelayOutcome = RelayComplete | RelayLost | RelayCallerGone
+RelayOutcome = RelayComplete | RelayLost | RelayCallerLeft
 
 
 async def relay(
@@ -73,7 +73,7 @@
         return RelayLost(error)
     except ConnectionError:
         await stream.cancel()
-        return RelayCallerGone(stream.n_events)
+        return RelayCallerLeft(stream.n_events)
     except BaseException:
         # The handler was cancelled, because the caller left or the daemon stops.
         await stream.cancel()
--- a/lycheepost/targets/weightsport.py
+++ b/lycheepost/targets/weightsport.py
@@ -11,12 +11,12 @@
 from lycheepost.targets.errors import TargetError
 
 
-class RunsMeanwhile(Enum):
+class RunningRequestPolicy(Enum):
     """What becomes of a target's runs when its weights change."""
 
     FINISH_FIRST = "finish_first"
-    CUT = "cut"
-    GO_ON = "go_on"
+    ABORT = "cut"
+    CONTINUE = "go_on"
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 
     model: ModelId
     version: WeightsVersion
-    runs: RunsMeanwhile
+    runs: RunningRequestPolicy
     holder: DaemonId
     fencing_number: FencingNumber
     expected_orders: int
