--- a/lycheepost/callers/exchange.py
+++ b/lycheepost/callers/exchange.py
@@ -20,7 +20,7 @@
 from lycheepost.callers.deps import CallerDeps
 from lycheepost.callers.errors import CallerError, ErrorType, Executed, from_refusal
 from lycheepost.callers.quotacharge import QuotaCharge
-from lycheepost.callers.sinks import RelayCallerLeft, RelayComplete, RelayLost, Sink
+from lycheepost.callers.sinks import RelayCallerGone, RelayComplete, RelayLost, Sink
 from lycheepost.core.ids import Incarnation, TargetId, WeightsVersion
 from lycheepost.decide.records import Dispatch, FinishKind, Refuse, Work
 from lycheepost.decide.retry import retry_pause_seconds
@@ -196,7 +196,7 @@
         match await self._sink.pump(stream):
             case RelayComplete():
                 return self._finish(stream), FinishKind.COMPLETE
-            case RelayCallerLeft():
+            case RelayCallerGone():
                 return self._finish(stream, is_caller_gone=True), FinishKind.CANCELLED
             case RelayLost(error):
                 raise error
--- a/lycheepost/callers/sinks.py
+++ b/lycheepost/callers/sinks.py
@@ -10,7 +10,7 @@
 from lycheepost.callers.errors import EXECUTED_HEADER, Executed
 from lycheepost.targets.errors import StreamLost
 from lycheepost.targets.relay import (
-    RelayCallerLeft,
+    RelayCallerGone,
     RelayComplete,
     RelayLost,
     RelayOutcome,
@@ -147,7 +147,7 @@
     "EVENT_STREAM",
     "BufferSink",
     "LiveSink",
-    "RelayCallerLeft",
+    "RelayCallerGone",
     "RelayComplete",
     "RelayLost",
     "Sink",
--- a/lycheepost/targets/relay.py
+++ b/lycheepost/targets/relay.py
@@ -36,13 +36,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayCallerLeft:
+class RelayCallerGone:
     """The caller left; the engine was told to stop."""
 
     n_events: int
 
 
-RelayOutcome = RelayComplete | RelayLost | RelayCallerLeft
+RelayOutcome = RelayComplete | RelayLost | RelayCallerGone
 
 
 async def relay(
@@ -73,7 +73,7 @@
         return RelayLost(error)
     except ConnectionError:
         await stream.cancel()
-        return RelayCallerLeft(stream.n_events)
+        return RelayCallerGone(stream.n_events)
     except BaseException:
         # The handler was cancelled, because the caller left or the daemon stops.
         await stream.cancel()
