--- a/lycheepost/targets/cachewatch.py
+++ b/lycheepost/targets/cachewatch.py
@@ -1,8 +1,8 @@
 """Follow the cache events of engines and stores.
 
-One task for each: it asks for what came after the last event and waits for more.
-Events come late and some are lost; what they tell only steers where work and
-copies go, and never what a request is allowed to use.
+One task for each source polls for the events after the last one read. Events arrive
+late and some are lost, so they only influence where requests and copies are sent,
+never which cache contents a request may use.
 """
 
 import asyncio
@@ -20,29 +20,31 @@
 from lycheepost.utils.tasks import start_task
 
 POLL_INTERVAL_SECONDS = 0.5
-"""Between two questions to one engine. Belief that is half a second old is as good:
-a part is kept for many seconds. Asking at every event would cost each engine and
-each daemon ten calls a second."""
+"""Pause between two polls of one source. A cache estimate half a second old is good
+enough, because a part is kept for many seconds. Polling at every event would cost
+each engine and each daemon ten calls a second."""
 
 RETRY_SECONDS = 1.0
+"""Pause after a failed poll."""
 
 FULL_READ_PAUSE_SECONDS = 0.3
-"""After each read of all events that an engine keeps. Engines keep thousands, a
-quarter of a megabyte. Read from six engines at once, they fill a link of 10 Mbit/s
-for longer than a call may take; the calls are then made anew, and no request passes
-meanwhile. One after the other, with this pause, they leave most of the link free."""
+"""Pause after each full read of an engine's events. Engines keep thousands of events,
+a quarter of a megabyte. Six full reads at once fill a link of 10 Mbit/s for longer
+than the time-out of a call; the reads then start again from scratch and block all
+requests on the link. Full reads one at a time, with this pause, leave most of the
+link free."""
 
 _log = structlog.get_logger(part="cache")
 
 
 @dataclass(frozen=True, slots=True)
 class CacheEventBatch:
-    """An answer to a question for cache events.
+    """The result of one poll for cache events.
 
     Attributes:
-        epoch: Changes when the cache was lost as a whole.
-        next_number: Where the next question goes on.
-        has_gap: Events before these are no longer kept.
+        epoch: Changes when the whole cache was lost.
+        next_number: Position from which the next poll continues.
+        has_gap: Whether earlier events are no longer kept by the source.
     """
 
     epoch: int
@@ -53,10 +55,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheSource:
-    """One start of an engine or a store, and where it tells its events.
+    """One start of an engine or a store, and the address that serves its events.
 
-    A start is followed by itself: what an earlier one told, and what it was asked
-    last, say nothing of a cache that is empty again.
+    Each start is a source of its own: a restarted cache is empty, so neither the
+    events of the previous start nor its last poll position apply to it.
 
     Attributes:
         target: The engine; None for a store.
@@ -68,12 +70,12 @@
 
 
 class CacheEventsPort(Protocol):
-    """Asks engines and stores for their cache events."""
+    """Reads cache events from engines and stores."""
 
     async def read_events(
         self, address: str, since: int
     ) -> Result[CacheEventBatch, TargetError]:
-        """Return the events after ``since``; held until there are some."""
+        """Return the events after ``since``; waits until there are some."""
         ...
 
 
@@ -83,11 +85,11 @@
 
 
 class CacheWatch:
-    """Follows every source that it is told to.
+    """Polls a changing set of sources.
 
     Args:
-        port: Asks for events.
-        on_events: Gets the events of one source, in order.
+        port: Reads events.
+        on_events: Called with the events of one source, in order.
     """
 
     def __init__(self, port: CacheEventsPort, on_events: OnEvents) -> None:
@@ -99,15 +101,15 @@
         self._full_read_lock = asyncio.Lock()
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start polling the sources."""
         self._is_started = True
         self.follow(self._wanted)
 
     async def drain(self) -> None:
-        """Go on: requests are still placed."""
+        """Keep polling, since open requests still have to be placed."""
 
     async def stop(self) -> None:
-        """Stop following."""
+        """Stop polling all sources."""
         self._is_started = False
         tasks = list(self._tasks.values())
         for task in tasks:
@@ -115,7 +117,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def follow(self, sources: Iterable[CacheSource]) -> None:
-        """Follow these sources from now on and no others."""
+        """Poll exactly these sources from now on."""
         self._wanted = set(sources)
         if not self._is_started:
             return
@@ -142,14 +144,18 @@
                     await asyncio.sleep(POLL_INTERVAL_SECONDS)
                 case Failure(error):
                     if not is_failing:
-                        _log.info("cache: lost", address=address, reason=error.reason)
+                        _log.info(
+                            "cache: events not readable",
+                            address=address,
+                            reason=error.reason,
+                        )
                     is_failing = True
                     await asyncio.sleep(RETRY_SECONDS)
 
     async def _read(
         self, address: str, since: int
     ) -> Result[CacheEventBatch, TargetError]:
-        """Ask one engine; for all that it keeps, only one engine at a time."""
+        """Read one source's events; only one full read runs at a time."""
         if since > 0:
             return await self._port.read_events(address, since)
         async with self._full_read_lock:
--- a/lycheepost/targets/calls.py
+++ b/lycheepost/targets/calls.py
@@ -1,4 +1,4 @@
-"""Records of calls to targets and of their answers."""
+"""Records of calls to targets and of their responses."""
 
 from dataclasses import dataclass, field
 
@@ -14,8 +14,8 @@
     """How much of an answer its caller already has from another target.
 
     Attributes:
-        n_events: Events, so that the caller's numbering goes on.
-        n_tokens: Tokens, so that the usage counts the whole answer.
+        n_events: Number of events; the caller's numbering continues after it.
+        n_tokens: Number of tokens; the usage includes them.
     """
 
     n_events: int
@@ -25,16 +25,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineCall:
-    """One try of one request on one engine.
+    """One attempt at a request on one engine.
 
     Attributes:
         url: Base address of the target.
         path: ``CHAT_PATH`` or ``COMPLETION_PATH``.
-        body: JSON as the engine shall get it, with salt and priority.
-        weights_version: Weights that the answer must come from.
-        levels: Prefix levels, told to the engine for its cache events.
-        continues: What another target delivered of this answer before; the
-            body must then be ``continuation_body`` of the first one.
+        body: The JSON sent to the engine, with cache salt and priority.
+        weights_version: Weights version that must produce the answer.
+        levels: Prefix levels, sent to the engine for its cache events.
+        continues: The part of this answer that another target delivered before;
+            the body must then be the ``continuation_body`` of the first one.
     """
 
     target: TargetId
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """One try of one call to a plain service.
+    """One attempt at a call to a plain service.
 
     Attributes:
         path: Path and query below the target's base address, from ``/``.
-        is_idempotent: The call may be repeated.
-        timeout_seconds: Longest wait for the answer; None for the settings'.
+        is_idempotent: Whether the call may be repeated.
+        timeout_seconds: Time-out of the call; if None, that of the settings.
     """
 
     target: TargetId
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceAnswer:
-    """A plain service's whole answer, whatever its status."""
+    """A plain service's complete response, whatever its status."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = field(default_factory=tuple)
--- a/lycheepost/targets/continuation.py
+++ b/lycheepost/targets/continuation.py
@@ -1,8 +1,8 @@
 """Continue an answer on another engine so that the caller sees one stream.
 
 The second engine gets the first one's text as the start of its own answer. Its
-events are numbered anew and its opening chunk is left out, so that the caller's
-numbering goes on; the usage at the end counts the whole answer.
+events are renumbered to continue the caller's numbering, its opening chunk is
+dropped, and the usage at the end covers the whole answer.
 """
 
 import json
@@ -14,7 +14,7 @@
 _EVENT_END = b"\n\n"
 _DONE = b"[DONE]"
 _DEFAULT_COMPLETION_TOKENS = 16
-"""What the published API gives a text completion that names no limit."""
+"""Token limit that the published API applies to a text completion without one."""
 _LIMIT_FIELDS = ("max_completion_tokens", "max_tokens")
 
 
@@ -24,15 +24,16 @@
     """Return the body that lets another engine continue an answer.
 
     Args:
-        path: The call's path, which tells chats from text completions.
+        path: The call's path, which distinguishes chats from text completions.
         body: The first engine's body.
         delivered_text: Text that the caller already has.
         n_tokens: Tokens that the caller already has.
 
     Returns:
-        None when the answer cannot be continued: several choices, or no token
-        left of the caller's limit, so that only the end of the stream is
-        missing and the engine would have nothing to add.
+        None when the answer cannot be continued: it has several choices, log
+        probabilities, tools or another prompt form, or the caller's token limit
+        is used up, so that only the end of the stream is missing and the engine
+        has nothing to add.
     """
     request: dict[str, Any] = json.loads(body)
     if request.get("n", 1) != 1 or request.get("logprobs"):
@@ -63,7 +64,11 @@
 
 
 def _continue_chat(request: dict[str, Any], delivered_text: str) -> bool:
-    """Append the delivered text as the answer's start; False if it cannot be."""
+    """Append the delivered text as the start of the answer.
+
+    Returns:
+        Whether the request allows that.
+    """
     if request.get("tools") or request.get("functions"):
         return False
     messages = list(request["messages"])
@@ -81,10 +86,10 @@
 
 
 class EventRewriter:
-    """RandomAdmission the second engine's events into the rest of the caller's stream.
+    """Rewrites the second engine's events as the rest of the caller's stream.
 
     Attributes:
-        n_events: Number of the last event that the caller got.
+        n_events: Number of the last event sent to the caller.
     """
 
     def __init__(self, delivered: Delivered) -> None:
@@ -92,7 +97,7 @@
         self._delivered = delivered
 
     def rewrite(self, events: bytes) -> bytes:
-        """Return whole events with the caller's numbers."""
+        """Return complete events, renumbered for the caller."""
         ready = b""
         for raw in events.split(_EVENT_END):
             data = parse_event(raw).data
@@ -115,7 +120,7 @@
         )
 
     def _is_role_chunk(self, data: bytes) -> bool:
-        """Tell the chunk that only names the role; the caller has had one."""
+        """Return whether a chunk only names the role and the caller has had one."""
         if self._delivered.n_events == 0 or b'"role"' not in data:
             return False
         choices = json.loads(data).get("choices") or [{}]
@@ -124,7 +129,7 @@
         return bool(delta.get("role")) and is_empty
 
     def _correct_chunk_usage(self, data: bytes) -> bytes:
-        """Return a chunk whose usage, if it has one, counts the whole answer."""
+        """Return a chunk whose usage, if it has one, covers the whole answer."""
         if data == _DONE or b'"usage"' not in data:
             return data
         chunk = json.loads(data)
--- a/lycheepost/targets/control.py
+++ b/lycheepost/targets/control.py
@@ -1,7 +1,7 @@
-"""Small JSON calls to engines beside the completions: reports and orders.
+"""Small JSON calls to engines other than completions: reports and orders.
 
-They use a pool of their own with short timeouts, so that a full pool or a slow
-stream never delays a health answer or an order.
+They use a separate connection pool with a short time-out, so that neither a full
+pool nor a slow stream delays a health report or an order.
 """
 
 import asyncio
@@ -23,11 +23,11 @@
 
 T = TypeVar("T")
 _CALL_TIMEOUT_SECONDS = 2.0
-"""Reports come from memory and orders are only noted, so a target that takes
-longer is in trouble, and waiting for it would make all reports old."""
+"""Targets read reports from memory and only record orders, so a target that takes
+longer is faulty, and waiting for it would make all reports stale."""
 _MAX_ANSWER_BYTES = 8 * 1024 * 1024
-"""Largest report: 4,096 cache events of about 90 bytes take 0.4 MB, a kept KV
-description far less; a broken target must not fill the memory."""
+"""Limit that keeps a faulty target from filling the memory. The largest report,
+4,096 cache events of about 90 bytes, takes 0.4 MB; a KV description far less."""
 
 
 class ControlClient:
@@ -44,7 +44,7 @@
         self._session = make_session(self._settings)
 
     async def drain(self) -> None:
-        """Calls are short; nothing to wait for."""
+        """Do nothing: calls are short."""
 
     async def stop(self) -> None:
         """Close all connections."""
@@ -59,15 +59,15 @@
         """Get one report.
 
         Returns:
-            The record, or why there is none; a report of another form counts
-            as ``TargetLost``.
+            The record, or the error; a report that cannot be decoded is a
+            ``TargetLost``.
         """
         return await self._call("GET", url, None, record_type)
 
     async def send(
         self, url: str, record: object, answer_type: type[T]
     ) -> Result[T, TargetError]:
-        """Post one record and return the answer; 409 answers count too."""
+        """Post one record and return the response, also one of status 409."""
         return await self._call("POST", url, encode_record(record), answer_type)
 
     async def _call(
--- a/lycheepost/targets/direct.py
+++ b/lycheepost/targets/direct.py
@@ -1,14 +1,14 @@
-"""Take a response body in the event loop's read callback, without a task switch.
+"""Process a response body in the event loop's read callback, without a task switch.
 
-At 31,500 reads a second on one core the usual way (a future per read, a task
-woken by it, a resumed parser, a write that may wait) costs more than parsing and
-sending together. ``DirectReader`` is an ``aiohttp.StreamReader`` that hands each
-piece of the body on at once instead of keeping it. A reader that exists already
-is turned into one and back by ``attach_handler`` and ``detach_handler``; aiohttp's parser keeps
+At 31,500 reads a second on one core, the usual path (a future per read, a task woken
+by it, a resumed parser, a write that may wait) costs more than parsing and sending
+together. ``DirectReader`` is an ``aiohttp.StreamReader`` that passes each piece of
+the body to a handler instead of buffering it. ``attach_handler`` and
+``detach_handler`` turn an existing reader into one and back; aiohttp's parser keeps
 calling the same public methods on it.
 
-This rests on aiohttp letting ``StreamReader`` be subclassed without new slots.
-``attach_handler`` returns False where it does not, and the usual way is taken.
+This requires that ``StreamReader`` can be subclassed without new slots. Otherwise
+``attach_handler`` returns False and the caller reads in the usual way.
 """
 
 from collections.abc import Callable
@@ -20,11 +20,11 @@
 
 @dataclass(slots=True)
 class BodyHandler:
-    """Where the body goes.
+    """Callbacks that receive a body.
 
     Attributes:
-        on_data: Called with each piece, in the read callback; it must not block.
-        on_end: Called once, with the error or None at the end of the body.
+        on_data: Called with each piece, in the read callback; must not block.
+        on_end: Called once: with the error, or with None at the end of the body.
     """
 
     on_data: Callable[[bytes], None]
@@ -32,41 +32,40 @@
 
 
 class DirectReader(StreamReader):
-    """A reader that keeps nothing.
+    """A reader that passes its data to a handler instead of buffering it.
 
-    The slot in which the base class keeps the future of a waiting task holds
-    the diversion: there is no waiting task, and a task that started to wait by
-    mistake would be refused by the base class.
+    The handler is stored in the slot in which the base class keeps the future of a
+    waiting task. No task waits, and the base class raises an error if one tries to.
     """
 
     __slots__ = ()
     _waiter: Any
 
     def feed_data(self, data: bytes, size: int = 0) -> bool:
-        """Hand one piece on."""
+        """Pass one piece to the handler."""
         self._waiter.on_data(data)
         return False
 
     def feed_eof(self) -> None:
-        """Note the end of the body."""
-        # Not super(): once restored this is no longer a DirectReader.
+        """Report the end of the body."""
+        # Not super(): after detaching, this is no longer a DirectReader.
         handler = detach_handler(self)
         StreamReader.feed_eof(self)
         if handler is not None:
             handler.on_end(None)
 
     def set_exception(self, exc: BaseException, *causes: BaseException) -> None:
-        """Note that the connection broke."""
+        """Report that the connection broke."""
         handler = detach_handler(self)
         StreamReader.set_exception(self, exc, *causes)
         if handler is not None:
             handler.on_end(exc)
 
     def begin_http_chunk_receiving(self) -> None:
-        """Note nothing: chunks of the transfer coding mean nothing here."""
+        """Do nothing: chunks of the transfer coding are not tracked."""
 
     def end_http_chunk_receiving(self) -> None:
-        """Note nothing: chunks of the transfer coding mean nothing here."""
+        """Do nothing: chunks of the transfer coding are not tracked."""
 
 
 def attach_handler(reader: StreamReader, handler: BodyHandler) -> bool:
@@ -75,7 +74,7 @@
     The reader must be empty, and no task may wait on it.
     """
     if type(reader) is not StreamReader:
-        return False  # An empty or already diverted body.
+        return False  # The body is empty or already has a handler.
     try:
         reader.__class__ = DirectReader
     except TypeError:
@@ -85,7 +84,7 @@
 
 
 def detach_handler(reader: StreamReader) -> BodyHandler | None:
-    """Let a diverted reader keep its data again."""
+    """Let a reader buffer its data again; return its handler, if it had one."""
     if type(reader) is not DirectReader:
         return None
     handler: BodyHandler = reader._waiter
