--- a/lycheepost/targets/direct.py
+++ b/lycheepost/targets/direct.py
@@ -69,9 +69,12 @@
 
 
 def attach_handler(reader: StreamReader, handler: BodyHandler) -> bool:
-    """Send the rest of a body to ``handler``; False if that cannot be.
+    """Pass the rest of a body to ``handler``.
 
     The reader must be empty, and no task may wait on it.
+
+    Returns:
+        Whether the reader supports it.
     """
     if type(reader) is not StreamReader:
         return False  # The body is empty or already has a handler.
--- a/lycheepost/targets/engine.py
+++ b/lycheepost/targets/engine.py
@@ -1,9 +1,9 @@
 """The client of the model engines.
 
 ``EngineClient.start_call`` sends one request and returns an ``EngineStream`` once
-the engine has answered with headers. A part with a life cycle of its own, it
-owns the pooled connections, the watch over silent streams and the cancel calls
-that outlive their requests.
+the engine's response headers have arrived. The client is a component with its own
+life cycle. It owns the pooled connections, the task that detects silent streams, and
+the cancel calls that outlive their requests.
 """
 
 import asyncio
@@ -29,14 +29,14 @@
 
 _log = structlog.get_logger(part="targets")
 _MAX_REJECTION_BYTES = 16 * 1024
-"""Most of a refusal's body that is kept for the caller."""
+"""Limit of a rejection's body that is kept for the caller."""
 _CANCEL_SECONDS = 2.0
 _IN_USE_WINDOW_SECONDS = 60.0
-"""A target stays of interest this long after its last request; hot prefixes
+"""A target counts as in use for this long after its last request; hot prefixes
 shift within minutes."""
 _MAX_CANCELS = 1000
-"""Cancel calls in flight; a dead target must not pile them up without bound.
-One that is left out only costs the engine the rest of one answer."""
+"""Limit of cancel calls in flight; otherwise they pile up when a target is dead.
+A cancel call that is skipped only costs the engine the rest of one answer."""
 
 
 class EngineClient:
@@ -52,7 +52,7 @@
         self._used_seconds: dict[TargetId, float] = {}
 
     async def start(self) -> None:
-        """Open the connection pool and the watch over silent streams."""
+        """Open the connection pool and start detecting silent streams."""
         self._session = make_session(self.settings)
         self._watch_task = start_task(self._watch_silence(), "engine-watch")
 
@@ -75,7 +75,7 @@
         return {"n_streams": len(self._streams), "n_cancels": len(self._cancels)}
 
     def is_in_use(self, target: TargetId) -> bool:
-        """Tell whether this daemon sent a request to a target lately."""
+        """Return whether this daemon recently sent a request to a target."""
         used_seconds = self._used_seconds.get(target, float("-inf"))
         return self._clock.now_seconds() - used_seconds < _IN_USE_WINDOW_SECONDS
 
@@ -83,8 +83,8 @@
         """Send a request and wait for the engine's response headers.
 
         Returns:
-            The stream, or ``TargetUnreachable`` and ``TargetRefused`` when the
-            request was certainly not run, or ``TargetLost``.
+            The stream; ``TargetUnreachable`` or ``TargetRefused`` when the
+            request was certainly not run; otherwise ``TargetLost``.
         """
         self._used_seconds[call.target] = self._clock.now_seconds()
         try:
@@ -104,7 +104,7 @@
     async def resume(
         self, call: EngineCall, last_event: int
     ) -> aiohttp.ClientResponse | None:
-        """Ask a target on a new connection for the rest of a stream.
+        """Request the rest of a stream from its target.
 
         Returns:
             The response, or None when the target cannot be reached or no
@@ -123,7 +123,7 @@
         return response
 
     def cancel_later(self, call: EngineCall) -> None:
-        """Tell a target to stop a request, without waiting for it."""
+        """Cancel a request at its target, without waiting for the result."""
         if len(self._cancels) >= _MAX_CANCELS:
             return
         task = asyncio.create_task(self._cancel(call.url, call.request))
@@ -131,7 +131,7 @@
         task.add_done_callback(self._cancels.discard)
 
     def remove_stream(self, stream: EngineStream) -> None:
-        """Watch a stream no longer."""
+        """Stop checking a stream for silence."""
         self._streams.discard(stream)
 
     def _open_session(self) -> aiohttp.ClientSession:
@@ -140,12 +140,12 @@
         return self._session
 
     async def _post_or_find(self, call: EngineCall) -> aiohttp.ClientResponse:
-        """Post a request; look for its stream when no answer begins.
+        """Post a request; look for its stream when no response begins.
 
-        A pooled connection that died unnoticed swallows the request, and its
-        caller would wait out the whole first-byte bound. So after the silence
-        bound the target is asked over a new connection: it either has the
-        stream, or has never heard of the request.
+        A pooled connection that broke without a reset loses the request, and its
+        caller would wait for the whole first-byte time-out. So after the silence
+        time-out the target is asked for the stream in another call: either it has
+        the stream, or it never received the request.
 
         Raises:
             TimeoutError: The target does not know the request.
@@ -164,7 +164,7 @@
             if found is None:
                 raise TimeoutError("the target does not know the request")
             _log.info(
-                "targets: found a stream whose answer did not come",
+                "targets: found the stream of a request without response",
                 request=call.request,
                 target=call.target,
             )
@@ -194,11 +194,11 @@
             return Failure(await self._read_rejection(call, response))
         fault = check_headers(call, response)
         if fault:
-            # The answer is somebody else's, or from other weights than the
-            # caller's prompt was routed for; none of it may be delivered.
+            # The answer belongs to another request, or was made with other weights
+            # than the request was routed for; none of it may be delivered.
             response.close()
             self.cancel_later(call)
-            _log.error("targets: answer refused", target=call.target, fault=fault)
+            _log.error("targets: answer rejected", target=call.target, fault=fault)
             return Failure(TargetLost(fault))
         stream = EngineStream(self, call, response)
         self._streams.add(stream)
@@ -226,15 +226,15 @@
                 response = await self._open_session().post(address)
                 response.release()
         except (aiohttp.ClientError, OSError, TimeoutError):
-            # The engine is gone or out of reach; it also stops by itself when
-            # nobody reads for a while.
-            _log.info("targets: cancel did not arrive", request=request)
+            # The engine has left or is unreachable; it also stops by itself when
+            # the stream is not read for a while.
+            _log.info("targets: cancel call failed", request=request)
 
     async def _watch_silence(self) -> None:
-        """Wake streams whose connection has been silent for too long.
+        """Abort connections of streams that have been silent for too long.
 
-        One task looks at all streams a few times per bound, because a timer per
-        stream moved at each of 31,500 reads a second costs more than the reads.
+        One task checks all streams four times per time-out, because a timer per
+        stream, reset at each of 31,500 reads a second, costs more than the reads.
         """
         bound = self.settings.silence_seconds
         while True:
@@ -248,7 +248,7 @@
 
 
 def check_headers(call: EngineCall, response: aiohttp.ClientResponse) -> str:
-    """Return what is wrong with response headers; empty when nothing is."""
+    """Return the fault of response headers; empty when there is none."""
     headers = response.headers
     if headers.get("X-Request-Id") != call.request:
         return "the target answered another request"
@@ -260,7 +260,7 @@
 
 
 def read_retry_after(response: aiohttp.ClientResponse) -> float | None:
-    """Return the seconds of ``Retry-After``; None without a usable one."""
+    """Return the seconds of ``Retry-After``; None if it is missing or unusable."""
     text = response.headers.get("Retry-After", "")
     return float(text) if text.isdecimal() else None
 
--- a/lycheepost/targets/errors.py
+++ b/lycheepost/targets/errors.py
@@ -1,8 +1,8 @@
-"""What can go wrong with a target, told apart by whether the request may have run.
+"""Errors of calls to targets, distinguished by whether the request may have run.
 
-That one difference decides what the caller may be told (``Lycheepost-Executed``)
-and whether a call that must not be repeated may be tried elsewhere, so each
-error carries it as ``execution``.
+That decides what the caller is told (``Lycheepost-Executed``) and whether a
+non-idempotent call may be sent to another target, so each error states it as
+``execution``.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 
 class Execution(Enum):
-    """Whether a request was run by the target."""
+    """Whether the target ran a request."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -25,8 +25,8 @@
     """A call to a target that failed.
 
     Attributes:
-        execution: Whether the target may have run the request; ``NO`` is only
-            used where it is certain.
+        execution: Whether the target may have run the request; ``NO`` only where
+            it is certain that it did not.
     """
 
     execution: ClassVar[Execution] = Execution.UNKNOWN
@@ -34,20 +34,20 @@
 
 @dataclass(frozen=True)
 class TargetUnreachable(TargetError):
-    """No connection came about, so not one byte of the request was sent."""
+    """No connection was established, so no byte of the request was sent."""
 
     execution: ClassVar[Execution] = Execution.NO
 
 
 @dataclass(frozen=True)
 class TargetRefused(TargetError):
-    """The target itself said that it does not run the request.
+    """The target responded that it does not run the request.
 
     Attributes:
         status: Its HTTP status: 409 for other weights, 429 and 503 when it is
-            busy, any other 4xx when the request itself is at fault.
-        retry_after_seconds: When it says to come back; None when it does not.
-        body: Its answer, for requests that are at fault themselves.
+            busy, any other 4xx when the request is invalid.
+        retry_after_seconds: Its ``Retry-After``; None without one.
+        body: Body of the response, passed to the caller of an invalid request.
     """
 
     status: int
@@ -58,19 +58,19 @@
 
 @dataclass(frozen=True)
 class TargetLost(TargetError):
-    """The request was sent and no usable answer began; it may have run."""
+    """The request was sent, but no usable response began; it may have run."""
 
 
 @dataclass(frozen=True)
 class StreamLost(TargetError):
-    """An answer that had begun cannot be completed on this target.
+    """An answer that has begun cannot be completed by this target.
 
     Attributes:
         n_events: Events delivered so far, over all targets of this answer.
         n_tokens: Tokens delivered so far, over all targets.
-        delivered_text: All text delivered so far; None when the answer holds
-            more than text (tool calls, log probabilities), so that no other
-            target can continue it.
+        delivered_text: All text delivered so far; None when the answer contains
+            more than text (tool calls, log probabilities) and so cannot be
+            continued by another target.
     """
 
     n_events: int
@@ -81,4 +81,4 @@
 
 @dataclass(frozen=True)
 class StreamCrossed(StreamLost):
-    """The target sent another request's answer; none of that was delivered."""
+    """The target sent events of another request; none of them was delivered."""
--- a/lycheepost/targets/events.py
+++ b/lycheepost/targets/events.py
@@ -1,9 +1,9 @@
-"""Split a stream of server-sent events where it may be cut.
+"""Split a stream of server-sent events at event boundaries.
 
-A target that stops may do so in the middle of an event. If the half had gone to
-the caller already, the answer could not be continued from another target without
-joining pieces of two events. So bytes are handed on only up to the end of an
-event, and with them the id after which a continuation has to begin.
+A target may stop in the middle of an event. If a partial event had been sent to the
+caller, an answer continued by another target would join parts of two events. So
+bytes are forwarded only up to the end of an event, and the id of the last complete
+event is kept, from which a continuation starts.
 """
 
 import re
@@ -11,7 +11,7 @@
 from lycheepost.targets.errors import TargetLost
 
 MAX_EVENT_BYTES = 1024 * 1024
-"""Largest event that is held back. Events of a stream hold some words each, a
+"""Largest partial event that is buffered. Usual events contain a few words, a
 thousandth of this."""
 
 _ID_LINE = re.compile(rb"(?:^|\n)id:[ ]?(\d+)\r?(?:\n|$)")
@@ -24,11 +24,11 @@
 
 
 class EventSplitter:
-    """Holds back the unfinished event at the end of what has come.
+    """Buffers the partial event at the end of the received data.
 
     Attributes:
-        last_id: Id of the last whole event; None before the first.
-        first_id: Id of the first whole event since the last ``restart``.
+        last_id: Id of the last complete event; None before the first.
+        first_id: Id of the first complete event since the last ``restart``.
     """
 
     def __init__(self) -> None:
@@ -37,10 +37,10 @@
         self._partial_event = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes and return those that end with a whole event.
+        """Add bytes and return the complete events.
 
         Raises:
-            TargetLost: An event is larger than may be held back.
+            TargetLost: A partial event is larger than ``MAX_EVENT_BYTES``.
         """
         pending = self._partial_event + data
         end = max(_end_after_last(pending, mark) for mark in _EVENT_ENDS)
@@ -54,11 +54,11 @@
         return whole
 
     def flush(self) -> bytes:
-        """Return what is left when the stream has ended as it should."""
+        """Return the remaining bytes, after a regular end of the stream."""
         rest, self._partial_event = self._partial_event, b""
         return rest
 
     def restart(self) -> None:
-        """Drop the unfinished event; another target continues after ``last_id``."""
+        """Drop the partial event; another target continues after ``last_id``."""
         self._partial_event = b""
         self.first_id = None
--- a/lycheepost/targets/forward.py
+++ b/lycheepost/targets/forward.py
@@ -1,7 +1,7 @@
-"""The client that forwards requests to targets and hands their answers on unread.
+"""The client that forwards requests to targets without parsing response bodies.
 
-One request at a time runs on a connection. A connection is used again only after
-a whole answer that was the right one, with nothing behind it.
+A connection carries one request at a time. It is reused only after a complete
+response to the right request, with no further bytes after it.
 """
 
 import asyncio
@@ -17,18 +17,18 @@
 from lycheepost.targets.session import SessionPair
 
 _NO_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-"""aiohttp would add them; the target must get the caller's headers and no others."""
+"""Headers that aiohttp adds by default; the target must get only the caller's."""
 
 
 class ResponseTruncated(TargetLost):
-    """An answer that had begun did not come to its end."""
+    """A response that had begun was truncated."""
 
 
 class ForwardResponse:
-    """An answer whose head has come.
+    """A response whose headers have arrived.
 
     Attributes:
-        head: The decoded head.
+        head: The decoded status and headers.
     """
 
     def __init__(self, head: ResponseHead, response: aiohttp.ClientResponse) -> None:
@@ -37,11 +37,11 @@
         self._is_complete = False
         connection = response.connection
         protocol = None if connection is None else connection.protocol
-        # Asked for now: once the connection is lost it can no longer be told how.
+        # Read now, because a lost connection no longer says how it ended.
         self._closed = None if protocol is None else protocol.closed
 
     async def read(self) -> bytes | None:
-        """Return the next bytes of the body, or None after a whole body.
+        """Return the next bytes of the body, or None after a complete body.
 
         Raises:
             ResponseTruncated: The connection broke before the end of the body.
@@ -58,21 +58,21 @@
         return None
 
     async def _check_end(self) -> None:
-        """Tell a body that ended from one that was cut off.
+        """Raise an error if a body without length was truncated.
 
-        A body without length ends with its connection. When the connection was
-        reset instead of closed, aiohttp reports the same end; only the state of
-        the connection tells that the rest is missing.
+        Such a body ends with its connection. If the connection was reset instead of
+        closed, aiohttp reports the same end; only the state of the connection shows
+        that the rest is missing.
         """
         if not self.head.has_length and self._closed is not None:
-            # A read that is given up must not end the future for the next one.
+            # A cancelled read must not cancel the future, which later reads need.
             await asyncio.shield(self._closed)
 
     async def read_body(self, max_bytes: int) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
         Raises:
-            ResponseTruncated: It broke off or is larger than ``max_bytes``.
+            ResponseTruncated: It is truncated or larger than ``max_bytes``.
         """
         parts: list[bytes] = []
         n_bytes = 0
@@ -85,9 +85,9 @@
         return b"".join(parts)
 
     def close(self) -> None:
-        """Break the connection unless the body was read to its end.
+        """Close the connection unless the body was read to its end.
 
-        The target sees that and stops its work.
+        The target then stops working on the request.
         """
         if not self._is_complete:
             self._response.close()
@@ -97,8 +97,8 @@
     """Sends calls to targets.
 
     Args:
-        settings: Timeouts and the age of kept connections.
-        dialect: How calls and answers look on the wire.
+        settings: Time-outs and the maximum idle time of pooled connections.
+        dialect: Encodes calls and decodes responses.
     """
 
     def __init__(self, settings: StreamSettings, dialect: Dialect) -> None:
@@ -123,12 +123,12 @@
         return {"n_calls": self.n_calls, "n_stale_answers": self.n_stale_answers}
 
     async def send(self, call: ForwardCall) -> Result[ForwardResponse, TargetError]:
-        """Send a call and wait for the head of its answer.
+        """Send a call and wait for the response headers.
 
-        The caller of this bounds the wait by cancelling it.
+        There is no time-out; cancel the call to end the wait.
 
         Returns:
-            The answer, ``TargetUnreachable`` when no byte was sent, or
+            The response, ``TargetUnreachable`` when no byte was sent, or
             ``TargetLost`` when the call may have run.
         """
         self.n_calls += 1
@@ -141,8 +141,8 @@
         headers = [(name, value) for name, value in response.headers.items()]
         head = self._dialect.decode(call, response.status, headers)
         if head.answers_other_request:
-            # The extra answer to an earlier request of this connection. Ours may
-            # come behind it, but what else does nobody can tell.
+            # An extra response to an earlier request on this connection. The right
+            # one may follow, but other bytes may follow as well.
             self.n_stale_answers += 1
             response.close()
             return Failure(TargetLost("the answer belongs to another request"))
--- a/lycheepost/targets/forwardcall.py
+++ b/lycheepost/targets/forwardcall.py
@@ -1,7 +1,7 @@
-"""Records of a request that is forwarded as it came, and of the head of its answer.
+"""Records of a request that is forwarded unchanged and of its response headers.
 
-How these look on the wire is the business of a ``Dialect``; the client in
-``targets.forward`` only moves them.
+A ``Dialect`` defines how they look on the wire; the client in ``targets.forward``
+only transfers them.
 """
 
 from dataclasses import dataclass
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineOptions:
-    """What an engine is told beside the caller's request.
+    """Options sent to an engine in addition to the caller's request.
 
     Attributes:
         cache_scope: Cached prompt parts are shared only within one scope.
-        weights_version: The engine refuses the request when it holds others.
+        weights_version: The engine refuses the request if it has other weights.
         rank: Order among the engine's requests; lower runs first.
-        fetch_from: ``IP:PORT`` of an engine or store that may keep more of the
-            prompt than the engine does; empty for none.
+        fetch_from: ``IP:PORT`` of an engine or store that may have cached more of
+            the prompt than the engine; empty for none.
         store_to: ``IP:PORT`` of the store that parts are copied to; empty for none.
     """
 
@@ -34,20 +34,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardCall:
-    """One try of one request on one target.
+    """One attempt at a request on one target.
 
     Attributes:
         address: ``IP:PORT`` of the target.
         method: As the caller sent it.
         raw_path: Path and query, byte for byte as the caller sent them.
-        headers: The caller's, without those that concern one connection or that
+        headers: The caller's headers, without hop-by-hop headers and those that
             only this system may set.
-        remaining_seconds: How long the caller still waits.
-        customer: Whose request it is; empty when nobody's.
-        engine: None for plain services.
-        after_event: The last event that the caller has; None from the start.
-        may_reuse_connection: The request may be repeated, so a kept connection
-            that turns out to be dead does no harm.
+        remaining_seconds: Time left until the caller's time-out.
+        customer: The request's customer; empty for none.
+        engine: Options for engines; None for plain services.
+        after_event: The last event that the caller has; None to start from the
+            beginning.
+        may_reuse_connection: Whether a pooled connection may be used: the request
+            may be repeated, so it does no harm if the connection is dead.
     """
 
     target: TargetId
@@ -66,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """The load that a target states in an answer."""
+    """The load that a target reports in a response."""
 
     n_running: int
     n_waiting: int
@@ -75,19 +76,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """The head of a target's answer.
+    """Status and headers of a target's response.
 
     Attributes:
-        headers: Those that go to the caller, as they came.
-        answers_other_request: It is the answer to another request.
-        is_sealed: The target vouches for the answer.
-        is_encoded: The body is not as the target's program wrote it.
-        was_not_run: The target says that it did not run the request and will not.
-        is_other_target: Another target has the address, or other weights are there.
-        target: Who answered, where it says so.
-        weights_version: Weights that the answer is made with, where it says so.
-        notice: What the target says of itself, beside its load.
-        has_length: A length or chunks tell where the body ends.
+        headers: Headers for the caller, unchanged.
+        answers_other_request: Whether it is the response to another request.
+        is_sealed: Whether it has the target's seal.
+        is_encoded: Whether a content encoding changed the body.
+        was_not_run: Whether the target states that it did not run the request and
+            will not.
+        is_other_target: Whether another target has the address, or the target has
+            other weights.
+        has_length: Whether a content length or chunks mark the end of the body.
+        target: The target that responded, if stated.
+        weights_version: Weights that produced the answer, if stated.
+        load: The load that the target reports, if any.
+        notice: Other reports of the target on its state.
     """
 
     status: int
@@ -105,7 +109,7 @@
 
 
 class Dialect(Protocol):
-    """How calls and answers look on the wire."""
+    """The wire format of calls and responses."""
 
     def encode(self, call: ForwardCall) -> list[tuple[str, str]]:
         """Return all headers of a call."""
@@ -114,5 +118,5 @@
     def decode(
         self, call: ForwardCall, status: int, headers: list[tuple[str, str]]
     ) -> ResponseHead:
-        """Return the head of an answer to ``call``."""
+        """Return the status and headers of a response to ``call``."""
         ...
