--- a/lycheepost/targets/engine.py
+++ b/lycheepost/targets/engine.py
@@ -104,7 +104,7 @@
     async def resume(
         self, call: EngineCall, last_event: int
     ) -> aiohttp.ClientResponse | None:
-        """Request the rest of a stream from its target.
+        """Request the rest of a stream from its target over another connection.
 
         Returns:
             The response, or None when the target cannot be reached or no
@@ -144,8 +144,8 @@
 
         A pooled connection that broke without a reset loses the request, and its
         caller would wait for the whole first-byte time-out. So after the silence
-        time-out the target is asked for the stream in another call: either it has
-        the stream, or it never received the request.
+        time-out the target is asked for the stream over another connection: either
+        it has the stream, or it never received the request.
 
         Raises:
             TimeoutError: The target does not know the request.
--- a/lycheepost/targets/observe.py
+++ b/lycheepost/targets/observe.py
@@ -1,9 +1,9 @@
-"""Asks engines for health, load and cache events, and passes on what they say.
+"""Polls engines for health, load and cache events, and passes the reports on.
 
-One task works through ``targets.pollplan``. Answers become records of the
-decisions (``LoadReport``) and signs of a target's state, and go to the functions
-given at the start. Cache events carry a sequence: what is missing between two
-answers is counted, logged and left to the belief, which drops what may be lost.
+One task executes the polls that ``targets.pollplan`` schedules. Responses are
+converted to ``LoadReport`` records and signals of a target's state, and passed to
+callbacks. Cache events carry sequence numbers: events missing between two responses
+are counted and logged, and the cache estimate drops what may be lost.
 """
 
 import asyncio
@@ -44,20 +44,21 @@
 
 _log = structlog.get_logger(part="targets")
 _MAX_CALLS = 64
-"""Calls in flight: targets that do not answer for two seconds must not hold up
-the reports of all others, nor pile up."""
+"""Limit of calls in flight, so that calls to targets that do not answer for two
+seconds neither delay the reports of all others nor pile up."""
 _TICK_SECONDS = 0.05
 _PLAN_REFRESH_SECONDS = 5.0
 
 
 @dataclass(frozen=True)
 class ObserverCallbacks:
-    """Where reports go.
+    """Callbacks for reports.
 
     Attributes:
-        on_signal: Gets what an answer, or its lack, says of a target's state.
-        on_load: Gets load reports.
-        on_events: Gets a target's boot id and its cache events in order.
+        on_signal: Called with what a response, or its absence, shows about a
+            target's state.
+        on_load: Called with load reports.
+        on_events: Called with a target's boot id and its cache events in order.
     """
 
     on_signal: Callable[[TargetId, TargetSignal], None]
@@ -67,10 +68,10 @@
 
 @dataclass
 class EventCursor:
-    """How far one target's cache events have been read.
+    """Position up to which one target's cache events have been read.
 
     Attributes:
-        n_lost: Events that were never told, over all incarnations.
+        n_lost: Number of events that were never received, over all incarnations.
     """
 
     boot_id: str = ""
@@ -78,10 +79,13 @@
     n_lost: int = 0
 
     def advance(self, answer: CacheEvents) -> tuple[CacheEvent, ...] | None:
-        """Take an answer; None when it must be asked for again from the start.
+        """Return the new events of a response and move the position past them.
 
-        A new boot id means that the engine came back empty and counts from 1
-        again: events read with the old sequence would leave out its first ones.
+        A new boot id means that the engine restarted empty and numbers its events
+        from 1 again; a read from the old position would skip its first events.
+
+        Returns:
+            The new events; None when they must be read again from the start.
         """
         if answer.boot_id != self.boot_id:
             is_partial = self.sequence > 0
@@ -99,7 +103,7 @@
 
 
 class TargetObserver:
-    """The part that keeps asking engines."""
+    """The component that polls engines."""
 
     def __init__(
         self,
@@ -128,14 +132,14 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to ask."""
+        """Start polling."""
         self._task = start_task(self._run(), "target-observer")
 
     async def drain(self) -> None:
-        """Go on: requests in flight still need to be placed."""
+        """Keep polling, since requests in flight still have to be placed."""
 
     async def stop(self) -> None:
-        """Stop asking."""
+        """Stop polling."""
         for task in (self._task, *self._calls.values()):
             if task is not None:
                 task.cancel()
@@ -150,19 +154,19 @@
         }
 
     def recheck(self, target: TargetId) -> None:
-        """Ask a target that took no connection again before its turn."""
+        """Poll the health of an unreachable target again ahead of schedule."""
         self._plan.recheck(target, self._clock.now_seconds())
 
     def incarnation(self, target: TargetId) -> Incarnation:
-        """Return the boot id that a target last named; empty when none."""
+        """Return the boot id that a target last reported; empty for none."""
         return self._incarnations.get(target, Incarnation(""))
 
     def incarnations(self) -> dict[TargetId, Incarnation]:
-        """Return the boot id that each target last named."""
+        """Return the boot id that each target last reported."""
         return dict(self._incarnations)
 
     def replace_targets(self, targets: Iterable[Target]) -> None:
-        """Follow the configuration; only engines may be given."""
+        """Replace the polled targets; all must be engines."""
         self._urls = {TargetId(item.target): item.url for item in targets}
         for known in (self._incarnations, self._cursors):
             for target in set(known) - set(self._urls):
@@ -181,7 +185,7 @@
             await asyncio.sleep(_TICK_SECONDS)
 
     def _start_poll(self, poll: Poll) -> None:
-        # A target that has not yet answered the last call is not asked again.
+        # A poll whose last call is still in flight is skipped.
         if poll in self._calls or len(self._calls) >= _MAX_CALLS:
             return
         task = asyncio.create_task(self._poll(poll))
@@ -248,7 +252,7 @@
         events = cursor.advance(answer)
         self._note_incarnation(target, answer.boot_id)
         if events is None:
-            return  # The next call starts at the new incarnation's first event.
+            return  # The next poll starts at the new incarnation's first event.
         if cursor.n_lost > n_lost:
             _log.info(
                 "targets: cache events lost",
@@ -266,9 +270,9 @@
 
 _STATES = {
     EngineHealthState.SERVING: TargetState.SERVING,
-    # It refuses work until it has loaded and may be ready before the next
-    # answer is read; a try costs one refusal, while no target at all in the
-    # midst of a rollout would cost callers their answer.
+    # It rejects requests until it has loaded, but may be ready before the next
+    # poll. A failed attempt costs one rejection, whereas without any target
+    # during a rollout callers would get no answer.
     EngineHealthState.LOADING: TargetState.WARMING,
     EngineHealthState.STANDBY: TargetState.LEAVING,
     EngineHealthState.LEAVING: TargetState.LEAVING,
@@ -283,5 +287,5 @@
     is_in_use: Callable[[TargetId], bool] = lambda target: True,
     seed: int = 0,
 ) -> TargetObserver:
-    """Return an observer that is not yet started and knows no target."""
+    """Return an observer that is not yet started and has no targets."""
     return TargetObserver(settings, control, clock, callbacks, is_in_use, seed)
--- a/lycheepost/targets/orders.py
+++ b/lycheepost/targets/orders.py
@@ -1,8 +1,9 @@
-"""Orders to engines, and reading back what they have become.
+"""Orders to engines, and reports of the resulting state.
 
-An order states the desired end state with a version and the lease's fencing
-number, so that sending it twice changes nothing and an engine that checks
-fencing refuses an earlier holder's. Engines that check nothing are read back.
+An order states the desired end state with a version and the lease's fencing number.
+So a repeated order changes nothing, and an engine that checks fencing refuses the
+order of an earlier holder. For engines that do not check it, the state is read back
+after the order.
 """
 
 from returns.result import Result
@@ -19,7 +20,7 @@
 
 
 class OrderClient:
-    """Sends orders and reads states; implements the capacity duty's port."""
+    """Sends orders and reads states; implements the port of the capacity duty."""
 
     def __init__(self, control: ControlClient) -> None:
         self._control = control
@@ -27,22 +28,22 @@
     async def send(
         self, target: Target, order: EngineOrder
     ) -> Result[EngineOrderAnswer, TargetError]:
-        """Tell a target its desired end state.
+        """Send a target its desired end state.
 
         Returns:
-            Its answer, which may say that the order was not accepted; or
-            ``TargetUnreachable`` when the order never arrived; or
-            ``TargetLost`` when it may have.
+            Its answer, which states whether the order was accepted;
+            ``TargetUnreachable`` when the order never arrived; or ``TargetLost``
+            when it may have arrived.
         """
         url = f"{target.url}/orders"
         return await self._control.send(url, order, EngineOrderAnswer)
 
     async def read_state(self, target: Target) -> Result[EngineHealth, TargetError]:
-        """Return what a target says it is."""
+        """Return the state that a target reports."""
         return await self._control.read(f"{target.url}/health", EngineHealth)
 
     async def read_load(self, target: Target) -> Result[EngineLoad, TargetError]:
-        """Return what a target says it runs."""
+        """Return the load that a target reports."""
         return await self._control.read(f"{target.url}/load", EngineLoad)
 
 
--- a/lycheepost/targets/pollplan.py
+++ b/lycheepost/targets/pollplan.py
@@ -1,11 +1,11 @@
-"""Which target to ask for which report next, without input, output or a clock.
-
-Small fleets are asked for everything at the settings' pace. 12,000 servers
-cannot be: three reports of about 500 bytes a second from each are 18 MB/s, and a
-daemon may spend 2 KB/s on control. So the plan keeps to a budget of calls a
-second. It slows all kinds alike when the budget is short, asks targets that this
-daemon sends work to for everything, and the others only for their health, a
-tenth as often.
+"""Schedules polls of targets' reports, without input, output or a clock.
+
+Small fleets are polled for all reports at the intervals of the settings. For 12,000
+servers that is too much: three reports of about 500 bytes a second from each are
+18 MB/s, while a daemon may use 2 KB/s for control traffic. So the plan keeps to a
+budget of calls a second. If the budget is too small, it lengthens the periods of all
+kinds by the same factor. Targets that this daemon sends requests to are polled for
+all reports, the others only for their health, a tenth as often.
 """
 
 import heapq
@@ -17,13 +17,14 @@
 from lycheepost.core.ids import TargetId
 
 _IDLE_PERIOD_FACTOR = 10.0
-"""A target without work of ours harms nobody by a late health answer."""
+"""Factor for targets not in use, for which a late health report does no harm."""
 _JITTER_SHARE = 0.2
-"""Daemons that start together must not ask a target all at once for good."""
+"""Random part of each period, so that daemons that start together do not keep polling
+a target at the same moments."""
 
 
 class ReportKind(Enum):
-    """What a target is asked for."""
+    """Kind of report that a target is polled for."""
 
     HEALTH = "health"
     LOAD = "load"
@@ -32,11 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PollSettings:
-    """How often each report is wanted.
+    """Wanted frequency of each report.
 
     Attributes:
         period_seconds: Time between two reports of one kind from one target.
-        calls_per_second: Budget over all targets.
+        calls_per_second: Budget for all targets together.
     """
 
     period_seconds: dict[ReportKind, float]
@@ -44,19 +45,19 @@
 
 
 _RECHECK_SECONDS = 0.1
-"""Wait before an unreachable target is asked again, while the budget allows."""
+"""Delay before an unreachable target is polled again, while the budget allows."""
 
 
 @dataclass(frozen=True, slots=True)
 class Poll:
-    """One report to ask for."""
+    """One report to request from one target."""
 
     target: TargetId
     kind: ReportKind
 
 
 class PollPlan:
-    """The order in which reports are due."""
+    """The schedule of polls."""
 
     def __init__(
         self,
@@ -76,11 +77,11 @@
 
     @property
     def period_factor(self) -> float:
-        """Return by how much the budget stretches every period; 1 for not."""
+        """Return the factor by which the budget lengthens every period, at least 1."""
         return self._period_factor
 
     def replace_targets(self, targets: Iterable[TargetId], now_seconds: float) -> None:
-        """Follow the fleet; new targets become due within their first period."""
+        """Replace the targets; new ones become due within their first period."""
         wanted = set(targets)
         for target in sorted(wanted - self._targets):
             for kind in ReportKind:
@@ -91,7 +92,7 @@
         self._update_period_factor()
 
     def take_due(self, now_seconds: float) -> list[Poll]:
-        """Return the reports that are due, and plan the next of each."""
+        """Return the polls that are due, and schedule the next of each."""
         taken = []
         while self._due and self._due[0][0] <= now_seconds:
             poll = heapq.heappop(self._due)[2]
@@ -104,11 +105,11 @@
         return taken + self._take_rechecks(now_seconds)
 
     def recheck(self, target: TargetId, now_seconds: float) -> None:
-        """Ask an unreachable target for its health again before its turn.
+        """Schedule an early health poll of an unreachable target.
 
-        A target that restarts is back within a second or so; if all of a group
-        restart together, each further moment refuses every caller. The budget
-        stretches this wait as it does all others.
+        A restarting target is back within about a second. If all targets of a group
+        restart together, every request is refused until their return is noticed.
+        The budget lengthens this delay like all others.
         """
         due_seconds = now_seconds + _RECHECK_SECONDS * self._period_factor
         self._rechecks.setdefault(target, due_seconds)
@@ -125,11 +126,11 @@
         return [Poll(target, ReportKind.HEALTH) for target in known]
 
     def next_due_seconds(self) -> float | None:
-        """Return when to look again; None without any target."""
+        """Return when the next poll is due; None without any target."""
         return self._due[0][0] if self._due else None
 
     def refresh(self) -> None:
-        """Measure again which targets are in use."""
+        """Update the schedule for the targets that are now in use."""
         self._update_period_factor()
 
     def _push(self, poll: Poll, due_seconds: float) -> None:
@@ -143,7 +144,7 @@
         return period * (1 + _JITTER_SHARE * (self._random.random() - 0.5))
 
     def _update_period_factor(self) -> None:
-        """Stretch all periods by what the budget lacks."""
+        """Set the factor so that the wanted rate of polls fits the budget."""
         periods = self._settings.period_seconds
         full_rate = sum(1 / periods[kind] for kind in ReportKind)
         idle_rate = 1 / (periods[ReportKind.HEALTH] * _IDLE_PERIOD_FACTOR)
--- a/lycheepost/targets/relay.py
+++ b/lycheepost/targets/relay.py
@@ -1,7 +1,7 @@
 """Relay one verified answer to its caller.
 
-The caller's pace holds the target back: nothing is read from the target while
-the caller's connection has more than the buffer's bound unsent.
+Back-pressure: nothing is read from the target while the caller's connection has more
+than its buffer's limit unsent.
 """
 
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayComplete:
-    """The caller got the whole answer."""
+    """The caller got the complete answer."""
 
     n_events: int
     usage: Usage | None
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayLost:
-    """The answer cannot be completed from this target.
+    """The answer cannot be completed by this target.
 
-    The response is left open: the caller's stream may be continued from
-    another target, or must be ended without ``[DONE]``.
+    The response is left open: either another target continues the caller's stream,
+    or it must be ended without ``[DONE]``.
     """
 
     error: StreamLost
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayCallerGone:
-    """The caller left; the engine was told to stop."""
+    """The caller has left; the engine's request was cancelled."""
 
     n_events: int
 
@@ -55,12 +55,12 @@
     Args:
         stream: The verified answer.
         response: The caller's response, already prepared.
-        request: The caller's request; with it each piece goes to the caller's
-            transport in the callback that read it.
+        request: The caller's request. If given, each piece is written to the
+            caller's transport in the callback that read it.
     """
     try:
-        # The first piece goes the usual way, because aiohttp holds the headers
-        # back to send them with it.
+        # The first piece is written through the response, because aiohttp sends
+        # the headers together with it.
         data = await stream.read()
         if data is None:
             return RelayComplete(stream.n_events, stream.usage)
@@ -75,7 +75,7 @@
         await stream.cancel()
         return RelayCallerGone(stream.n_events)
     except BaseException:
-        # The handler was cancelled, because the caller left or the daemon stops.
+        # The handler was cancelled: the caller has left or the daemon is stopping.
         await stream.cancel()
         raise
 
@@ -83,7 +83,11 @@
 async def _relay_directly(
     stream: EngineStream, response: web.StreamResponse, request: web.BaseRequest
 ) -> bool:
-    """Relay from read callback to transport; False when that cannot be."""
+    """Relay from the read callback to the transport.
+
+    Returns:
+        Whether the response allows that; if not, nothing was relayed.
+    """
     transport = request.transport
     is_chunked = response.headers.get("Transfer-Encoding") == "chunked"
     if transport is None or response.compression or not is_chunked:
@@ -100,8 +104,8 @@
         if transport.is_closing():
             raise ConnectionResetError("the caller has left")
         # The caller reads slower than the target sends. The target is not read
-        # until the transport has sent what it holds, so the daemon keeps no
-        # more than the transport's bound and one read for each such stream.
+        # until the transport has sent its buffer, so the daemon buffers at most
+        # the transport's limit and one read for each such stream.
         await request.writer.drain()
         stream.resume_reading()
     return True
--- a/lycheepost/targets/service.py
+++ b/lycheepost/targets/service.py
@@ -1,4 +1,4 @@
-"""The client of plain services: any HTTP server, called once and read whole."""
+"""The client of plain services: any HTTP server; responses are not streamed."""
 
 import asyncio
 from typing import Any
@@ -13,7 +13,7 @@
 from lycheepost.targets.session import SessionPair, read_bounded
 
 _MAX_ANSWER_BYTES = 16 * 1024 * 1024
-"""Largest answer that is passed on; a larger one must not fill the memory."""
+"""Largest response that is passed on; the limit protects the daemon's memory."""
 _HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -28,7 +28,7 @@
         "upgrade",
     }
 )
-"""Headers that concern one connection only and are never passed on."""
+"""Headers that apply to one connection only and are never passed on."""
 
 
 class ServiceClient:
@@ -44,7 +44,7 @@
         await self._sessions.start()
 
     async def drain(self) -> None:
-        """Nothing runs here beside the calls of open requests."""
+        """Do nothing: all calls belong to open requests."""
 
     async def stop(self) -> None:
         """Close all connections."""
@@ -55,10 +55,10 @@
         return {"n_calls": self._n_calls}
 
     async def call(self, call: ServiceCall) -> Result[ServiceAnswer, TargetError]:
-        """Send one call and return the whole answer, whatever its status.
+        """Send one call and return the complete response, whatever its status.
 
         Returns:
-            The answer, or ``TargetUnreachable`` when no byte was sent, or
+            The response, ``TargetUnreachable`` when no byte was sent, or
             ``TargetLost`` when the call may have run.
         """
         self._n_calls += 1
--- a/lycheepost/targets/session.py
+++ b/lycheepost/targets/session.py
@@ -1,4 +1,4 @@
-"""Connection pools towards targets and the bounded reading of their answers."""
+"""Connection pools for targets, and size-limited reading of their responses."""
 
 import aiohttp
 
@@ -8,14 +8,13 @@
 async def _prevent_resend(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Keep aiohttp from sending a request again by itself.
-
-    When a connection breaks before the answer, aiohttp sends GET, HEAD, OPTIONS,
-    TRACE, PUT and DELETE a second time, even over a connection that was new. A
-    call that must not be repeated would run twice at the target without a trace
-    here, and other repeats would escape the retry budget. Turned into an error
-    that aiohttp does not answer, the loss comes to us, who know what may be
-    repeated.
+    """Keep aiohttp from retrying a request by itself.
+
+    When a connection breaks before the response, aiohttp sends GET, HEAD, OPTIONS,
+    TRACE, PUT and DELETE a second time, even over a new connection. A non-idempotent
+    call would run twice at the target without a trace in this daemon, and other
+    retries would bypass the retry budget. So the error is converted to one for which
+    aiohttp does not retry, and the caller of the session decides.
     """
     try:
         return await handler(request)
@@ -28,10 +27,10 @@
 def make_session(
     settings: StreamSettings, is_pooled: bool = True
 ) -> aiohttp.ClientSession:
-    """Return a session whose connections are reused only while fresh, or never.
+    """Return a session whose connections are reused for a limited time, or never.
 
-    A connection that idled for long may have been forgotten by something
-    between the two ends; it would swallow the next request without a sign.
+    A device in between, such as a switch, may have dropped the state of a connection
+    that was idle for long; the next request on it would be lost without an error.
     """
     if is_pooled:
         keepalive_seconds = settings.idle_connection_seconds
@@ -49,15 +48,15 @@
 
 
 class SessionPair:
-    """Connections for calls that may be repeated, and for those that may not.
+    """Sessions for calls that may be repeated, and for those that may not.
 
-    A pooled connection may have died unnoticed. It would swallow a call that may not
-    be repeated, whose caller then gets no better answer than "unknown". So each such
-    call proves the way with a new connection, for one round trip of under a
-    millisecond.
+    A pooled connection may be dead without an error. A call that may not be repeated
+    would be lost on it, and its caller could only be told that the outcome is
+    unknown. So each such call opens a new connection, at the cost of one round trip
+    of under a millisecond.
 
     Args:
-        settings: Time-outs and the age of kept connections.
+        settings: Time-outs and the maximum idle time of pooled connections.
     """
 
     def __init__(self, settings: StreamSettings) -> None:
@@ -85,7 +84,7 @@
 
 
 async def read_bounded(response: aiohttp.ClientResponse, max_bytes: int) -> bytes:
-    """Return a whole body.
+    """Return a complete body.
 
     Raises:
         aiohttp.ClientPayloadError: It is larger than ``max_bytes``.
--- a/lycheepost/targets/sse.py
+++ b/lycheepost/targets/sse.py
@@ -1,9 +1,9 @@
 """Check the events of one streamed answer, without input or output.
 
 An engine numbers its events from 1 and writes the request's id into each chunk.
-``EventChecker`` lets bytes through only as whole events, each exactly once, in
-order and of the right request. Most reads hold exactly one event; for them two
-comparisons of bytes suffice and no JSON is parsed.
+``EventChecker`` passes only complete events of the right request, each exactly once
+and in order. Most reads consist of exactly one event; for them, two comparisons of
+bytes suffice and no JSON is parsed.
 """
 
 from dataclasses import dataclass
@@ -12,16 +12,16 @@
 import msgspec
 
 MAX_EVENT_BYTES = 1 << 20
-"""Largest event; one that never ends must not fill the daemon's memory."""
+"""Largest event; an event that never ends must not fill the daemon's memory."""
 _MAX_UNPARSED_BYTES = 16 * 1024
-"""Delivered events kept raw before their text is taken out. Most answers are
-shorter, so they are never parsed at all unless their target is lost."""
+"""Size of delivered events kept raw before they are parsed for their text. Most
+answers are shorter and so are never parsed unless their target fails."""
 _EVENT_END = b"\n\n"
 _DONE = b"[DONE]"
 
 
 class BrokenStreamError(Exception):
-    """The events cannot be trusted or followed on this connection."""
+    """The events on this connection are invalid; none after them can be used."""
 
 
 class MissingEventError(BrokenStreamError):
@@ -53,13 +53,13 @@
 
 
 class CachedTokens(msgspec.Struct):
-    """Details of the prompt's tokens."""
+    """Details of the prompt tokens."""
 
     cached_tokens: int = 0
 
 
 class Usage(msgspec.Struct):
-    """Tokens of one answer as the engine counts them."""
+    """Tokens of one answer, as counted by the engine."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -73,7 +73,7 @@
 
 
 class Chunk(msgspec.Struct):
-    """The parts of a chunk that are looked at."""
+    """The fields of a chunk that are used."""
 
     id: str = ""
     choices: list[Choice] = []
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event: its number and its data; either may be missing."""
+    """The number and data of one event; both may be missing."""
 
     number: int | None
     data: bytes
@@ -97,7 +97,7 @@
     """Read the lines of one event.
 
     Raises:
-        BrokenStreamError: Its number is not a number.
+        BrokenStreamError: Its number is not an integer.
     """
     number = None
     data = []
@@ -126,18 +126,18 @@
 
 
 def _split_data(events: bytes) -> list[bytes]:
-    """Return the data of whole events that were checked before."""
+    """Return the data of complete events that have been checked."""
     pieces = events.split(b"\ndata: ")
     if len(pieces) == events.count(_EVENT_END) + 1:
-        # One line of data each, as engines write them; what follows the data
-        # of one event is the number of the next.
+        # Each event has one line of data, the usual form; the data of an event is
+        # followed by the number of the next.
         return [piece.partition(_EVENT_END)[0] for piece in pieces[1:]]
     found = [parse_event(part).data for part in events.split(_EVENT_END)]
     return [data for data in found if data]
 
 
 class DeliveredText:
-    """The text of an answer as far as it has been let through."""
+    """The text of an answer delivered so far."""
 
     def __init__(self) -> None:
         self.n_tokens = 0
@@ -147,14 +147,14 @@
         self._unparsed_bytes = 0
 
     def add(self, events: bytes) -> None:
-        """Note whole events; they are parsed later, or never."""
+        """Add complete events; they are parsed later, or never."""
         self._unparsed.append(events)
         self._unparsed_bytes += len(events)
         if self._unparsed_bytes > _MAX_UNPARSED_BYTES:
             self._parse()
 
     def text(self) -> str | None:
-        """Return the text so far; None when there is more than text."""
+        """Return the text so far; None when the answer contains more than text."""
         self._parse()
         return "".join(self._parts) if self._is_only_text else None
 
@@ -162,7 +162,7 @@
         raw = b"".join(self._unparsed)
         self._unparsed.clear()
         self._unparsed_bytes = 0
-        # All chunks at once cost a third of one by one.
+        # Parsing all chunks at once costs a third of parsing them one by one.
         chunks = [data for data in _split_data(raw) if data != _DONE]
         for chunk in _list_decoder.decode(b"[%b]" % b",".join(chunks)):
             self._parse_chunk(chunk)
@@ -182,14 +182,15 @@
 
 
 class EventChecker:
-    """Lets through the events of one request, whole, once and in order.
+    """Passes the events of one request: complete, once each and in order.
 
     Attributes:
-        n_events: Number of the last event let through.
-        is_done: ``[DONE]`` has been let through.
-        usage: Tokens as the engine counted them; None until done.
-        fault: Why nothing more is let through on this connection. The events
-            before the fault were let through and must be delivered first.
+        n_events: Number of the last event passed.
+        is_done: Whether ``[DONE]`` has been passed.
+        usage: Tokens, as counted by the engine; None until done.
+        fault: Why no more events are passed on this connection. The events before
+            the fault were passed and must be delivered first.
+        delivered: The text of the passed events.
     """
 
     def __init__(self, answer_id: str) -> None:
@@ -205,19 +206,19 @@
         self._last_data = b""
 
     def restart(self) -> None:
-        """Forget a partial event and a fault; their connection is gone."""
+        """Drop a partial event and a fault, which belong to a closed connection."""
         self._partial_event = b""
         self.fault = None
 
     def feed(self, data: bytes) -> bytes:
         """Return the bytes of ``data`` that may be delivered now.
 
-        Look at ``fault`` after delivering them: ``MissingEventError`` when an
-        event is missing, ``CrossedEventError`` when one belongs to another
-        request, ``BrokenStreamError`` when the data has another form.
+        Check ``fault`` after delivering them: it is a ``MissingEventError`` when an
+        event is missing, a ``CrossedEventError`` when one belongs to another
+        request, and a ``BrokenStreamError`` when the data is malformed.
         """
-        # The load here is 31,500 events a second on one core. A read that is
-        # one whole event of this request with the next number needs no parsing.
+        # Fast path for 31,500 events a second on one core: a read that is exactly
+        # the next complete event of this request needs no parsing.
         if (
             data.startswith(self._expected_prefix)
             and not self._partial_event
@@ -244,9 +245,9 @@
             for raw in events if self.fault is None else ():
                 ready.append(self._check(raw + _EVENT_END))
         except BrokenStreamError as error:
-            # What came whole and in order before it counts as let through.
-            # Were it dropped, the resume would begin after it, and the caller
-            # would miss words in the middle.
+            # Valid events before the fault count as passed. If they were dropped,
+            # the resume would start after them, and the caller's answer would lack
+            # words in the middle.
             self.fault = error
             self._partial_event = b""
         checked = b"".join(ready)
@@ -255,14 +256,14 @@
         return checked
 
     def _check(self, raw: bytes) -> bytes:
-        """Return one event as it may be delivered; nothing for a duplicate."""
+        """Return one event if it may be delivered; empty for a duplicate."""
         if raw.startswith(self._expected_prefix) and not self.is_done:
             self._last_data = raw
             self._advance()
             return raw
         event = parse_event(raw)
         if not event.data:
-            return b""  # A comment that keeps the connection alive.
+            return b""  # A comment, sent to keep the connection alive.
         if event.number is None:
             raise BrokenStreamError("an event has no number")
         if event.data != _DONE:
--- a/lycheepost/targets/stream.py
+++ b/lycheepost/targets/stream.py
@@ -1,9 +1,9 @@
 """One answer of one engine, verified while it is read.
 
-``EngineStream.read`` returns bytes that may be written to the caller as they are:
-whole events, each once, in order, of this request. A connection that breaks,
-falls silent or leaves an event out is replaced, and the same target is asked for
-the rest; a target that has restarted since cannot have it.
+``EngineStream.read`` returns bytes that may be written to the caller unchanged:
+complete events of this request, each once and in order. A connection that breaks,
+falls silent or skips an event is replaced, and the same target is asked for the
+rest. A target that has restarted since then cannot provide it.
 """
 
 import asyncio
@@ -33,13 +33,14 @@
 _log = structlog.get_logger(part="targets")
 _MAX_UNSTREAMED_BYTES = 16 * 1024 * 1024
 """Largest answer that is not streamed; 4,096 tokens with log probabilities take
-less than a tenth of it."""
+less than a tenth of this."""
 _BODY_END_SECONDS = 0.25
-"""Wait for the end of the HTTP body after ``[DONE]``, to reuse the connection."""
+"""Time-out for the end of the HTTP body after ``[DONE]``; with it the connection can
+be reused."""
 
 
 class StreamOwner(Protocol):
-    """What a stream needs of the client that opened it."""
+    """What a stream uses of the client that opened it."""
 
     @property
     def settings(self) -> StreamSettings:
@@ -49,15 +50,15 @@
     async def resume(
         self, call: EngineCall, last_event: int
     ) -> aiohttp.ClientResponse | None:
-        """Open the stream of a call again, after an event; None when it is gone."""
+        """Reopen the stream of a call after an event; None when that fails."""
         ...
 
     def cancel_later(self, call: EngineCall) -> None:
-        """Tell the target to stop a call, without waiting for it."""
+        """Cancel a call at its target, without waiting for the result."""
         ...
 
     def remove_stream(self, stream: "EngineStream") -> None:
-        """Stop counting a stream that has ended."""
+        """Remove a stream that has ended."""
         ...
 
 
@@ -65,9 +66,9 @@
     """An answer that is being read.
 
     Attributes:
-        call: What was asked.
-        boot_id: The incarnation of the target that answers.
-        usage: Tokens as the engine counted them; None before the end.
+        call: The call that the answer belongs to.
+        boot_id: Incarnation of the responding target.
+        usage: Tokens, as counted by the engine; None before the end.
     """
 
     def __init__(
@@ -95,7 +96,7 @@
 
     @property
     def n_events(self) -> int:
-        """Return how many events the caller has, over all targets."""
+        """Return the number of events delivered to the caller, over all targets."""
         if self._rewriter is not None:
             return self._rewriter.n_events
         return self._checker.n_events
@@ -104,7 +105,7 @@
         """Return the next verified bytes; None when the answer is complete.
 
         Raises:
-            StreamLost: The rest cannot be had from this target.
+            StreamLost: This target cannot provide the rest.
             StreamCrossed: The target sent another request's answer.
         """
         if self._is_finished:
@@ -119,22 +120,22 @@
         return None
 
     async def cancel(self) -> None:
-        """Stop reading and let the engine stop generating."""
+        """Stop reading and cancel the call at the engine."""
         if not self._is_finished:
             self._close()
             self._client.cancel_later(self.call)
 
     async def pump(self, write: Callable[[bytes], bool]) -> bool:
-        """Hand verified bytes to ``write`` in the read callback itself.
+        """Pass verified bytes to ``write`` within the read callback.
 
         Args:
-            write: Must not block; returns False to be left alone for now.
+            write: Must not block; returns False to pause.
 
         Returns:
-            True when the answer is complete, False when ``write`` said stop.
+            True when the answer is complete, False when ``write`` returned False.
 
         Raises:
-            StreamLost: The rest cannot be had from this target.
+            StreamLost: This target cannot provide the rest.
             StreamCrossed: The target sent another request's answer.
         """
         if not self.call.expects_stream:
@@ -150,7 +151,11 @@
         return True
 
     async def _pump_from_connection(self, write: Callable[[bytes], bool]) -> bool:
-        """Pump until the connection needs attention; False on a stop."""
+        """Pump until the connection ends or must be replaced.
+
+        Returns:
+            False when ``write`` returned False.
+        """
         content = self._content
         ended: asyncio.Future[BaseException | None]
         ended = asyncio.get_running_loop().create_future()
@@ -173,8 +178,8 @@
 
         checker = self._checker
         rewrite = self._rewriter.rewrite if self._rewriter else None
-        # Only an empty reader can be diverted without a change of order, so
-        # what it holds is taken out first.
+        # A handler can be attached to an empty reader only, or bytes would be
+        # reordered. So buffered bytes are read first.
         if checker.fault is not None:
             await self._recover(checker.fault)
             return True
@@ -201,10 +206,10 @@
         return True
 
     def check_silence(self, now_seconds: float) -> None:
-        """Break a connection over which no event came for too long.
+        """Abort the connection if no event has arrived for too long.
 
-        Only time spent waiting for the target counts; a caller who reads slowly
-        holds the stream up without any fault of the target's.
+        Only time spent waiting for the target counts, because a caller that reads
+        slowly delays the stream as well.
         """
         n_events = self._checker.n_events
         is_idle = self._is_waiting and n_events == self._n_events_seen
@@ -225,7 +230,7 @@
                 self._stop_pump(silence)
 
     def resume_reading(self) -> None:
-        """Take from the target again after ``pump`` was stopped."""
+        """Resume reading from the target after ``pump`` returned False."""
         connection = self._response.connection
         if connection is not None and connection.protocol is not None:
             connection.protocol.resume_reading()
@@ -236,7 +241,7 @@
             connection.protocol.pause_reading()
 
     async def _read_events(self) -> bytes:
-        """Return verified events; nothing when the connection was replaced."""
+        """Return verified events; empty when the connection was replaced."""
         if self._checker.fault is not None:
             await self._recover(self._checker.fault)
         try:
@@ -260,13 +265,13 @@
         return self._rewriter.rewrite(ready) if self._rewriter else ready
 
     async def _recover(self, error: BaseException | None) -> None:
-        """Replace the connection and go on after the last whole event.
+        """Replace the connection and continue after the last complete event.
 
         Args:
-            error: What ended the connection; None for the end of the body.
+            error: Error that ended the connection; None for the end of the body.
 
         Raises:
-            StreamLost: The target cannot send the rest.
+            StreamLost: The target cannot provide the rest.
             StreamCrossed: It sent another request's events.
         """
         reason = _describe(error)
@@ -275,8 +280,8 @@
         self._response.close()
         self._checker.restart()
         if self._checker.n_events > self._n_events_recovered:
-            # Tries are counted without progress between them: a long answer
-            # over a poor way may need many in all.
+            # Only resumes without progress in between count against the limit: a
+            # long answer over a poor connection may need many in total.
             self._resumes_left = self._client.settings.resume_tries
             self._n_events_recovered = self._checker.n_events
         while self._resumes_left > 0:
@@ -316,7 +321,7 @@
         self._response.close()
 
     async def _end(self) -> None:
-        """Note the usage and give the connection back to the pool."""
+        """Record the usage and return the connection to the pool."""
         self.usage = self._checker.usage
         if self._rewriter is not None and self.usage is not None:
             self.usage = self._rewriter.correct_usage(self.usage)
--- a/lycheepost/targets/weightsport.py
+++ b/lycheepost/targets/weightsport.py
@@ -1,4 +1,4 @@
-"""What a weights duty needs of targets: their own report, and orders to them."""
+"""Reports of targets and orders to them, as the weights duty uses them."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -12,7 +12,7 @@
 
 
 class RunningRequestPolicy(Enum):
-    """What becomes of a target's runs when its weights change."""
+    """How a target treats its running requests when its weights change."""
 
     FINISH_FIRST = "finish_first"
     ABORT = "cut"
@@ -21,13 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetReport:
-    """What a target says of itself, some hundred milliseconds late.
+    """A target's report of its state, some hundred milliseconds old.
 
     Attributes:
-        n_orders: Orders accepted since its start; an order names the count that
-            it expects, so that a late one cannot undo a newer one.
-        is_changing: An order is being carried out.
-        started_ms: Unix millisecond of the target's start; None where it states none.
+        n_orders: Number of orders accepted since its start. An order states the
+            number that it expects, so that a late one cannot undo a newer one.
+        is_changing: Whether an order is being carried out.
+        started_ms: Start of the target in Unix milliseconds; None if not stated.
     """
 
     weights: dict[ModelId, WeightsVersion]
@@ -42,12 +42,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadWeights:
-    """An order to put weights in.
+    """An order to load weights.
 
     Attributes:
-        holder: Who orders.
-        fencing_number: Of the holder's lease.
-        expected_orders: The target refuses when it has accepted more orders.
+        holder: Daemon that holds the lease.
+        fencing_number: Fencing number of the holder's lease.
+        expected_orders: The target refuses the order if it has accepted more orders.
     """
 
     model: ModelId
@@ -59,14 +59,15 @@
 
 
 class OrderAnswer(Enum):
-    """What a target said to an order."""
+    """A target's response to an order."""
 
     ACCEPTED = "accepted"
     ALREADY = "already"
     BUSY = "busy"
-    """Another order is being carried out, or more orders were accepted."""
+    """Another order is being carried out, or more orders than expected were
+    accepted."""
     FENCED = "fenced"
-    """A newer holder has ordered it."""
+    """A newer holder of the lease has already sent an order."""
     INVALID = "invalid"
     OTHER_TARGET = "other_target"
 
@@ -77,11 +78,11 @@
     async def read_report(
         self, target: ListedTarget
     ) -> Result[TargetReport, TargetError]:
-        """Return what a target says of itself."""
+        """Return a target's report of its state."""
         ...
 
     async def order(
         self, target: ListedTarget, order: LoadWeights
     ) -> Result[OrderAnswer, TargetError]:
-        """Send one order; never sent twice by itself."""
+        """Send one order, without retries."""
         ...
