--- a/features/targets/calls.feature
+++ b/features/targets/calls.feature
@@ -4,8 +4,8 @@
     Given a plain service
 
   Scenario Outline: A failed call tells whether it may have run
-    A print order's answer is lost after the lab took it. Told "not run", the
-    kiosk would order again and the shopper pays for two.
+    A print order's answer is lost after the lab ran it. If the call were reported
+    as not run, the kiosk would order again and the shopper would pay twice.
 
     Given the service's next call shows "<fault>"
     When an order is sent that may not be repeated
@@ -26,8 +26,8 @@
     Then the order's outcome is "TargetUnreachable", run "no"
 
   Scenario: An order does not go into a connection that may be dead
-    The pooled connection to the lab was forgotten by a switch. An order sent
-    into it vanishes, and nobody can tell whether the lab has it.
+    A switch has dropped the state of the pooled connection to the lab. An order
+    sent on it would be lost, and its outcome would be unknown.
 
     Given an idempotent call has left a pooled connection
     And the service's open connections go silent
@@ -36,11 +36,11 @@
     And the service ran it 1 times
 
   Scenario Outline: The HTTP library sends nothing a second time by itself
-    A connection breaks after the request. The library silently sends methods
-    that it holds for repeatable again; the order would be printed twice with no
-    trace of it in the daemon.
+    A connection breaks after the request. By default, the library retries methods
+    that HTTP defines as idempotent; the order would be printed twice without a
+    trace in the daemon.
 
-    Given a server that cuts each connection after the request
+    Given a server that closes each connection after the request
     When a <method> is sent that <may> be repeated
     Then the server saw 1 request
 
@@ -53,9 +53,9 @@
       | GET    | may     |
 
   Scenario Outline: An order with an old fencing number
-    A holder was paused, its lease ran out, another took over and gave orders.
-    The first wakes up and sends its own. Engines that check fencing refuse it;
-    with others the desired version shows by reading back who was last.
+    A lease holder is paused and its lease expires; the next holder sends orders.
+    The first one resumes and sends its own order. Engines that check fencing reject
+    it; for others, the desired version that is read back shows which order was last.
 
     Given an engine that <checks> fencing, ordered with fencing number 7 and version 3
     When an order with fencing number <fencing> and version <version> is sent
--- a/features/targets/environment.py
+++ b/features/targets/environment.py
@@ -1,4 +1,4 @@
-"""One event loop a scenario, with whatever the scenario has started on it."""
+"""One event loop for each scenario, and a stack to stop what it has started."""
 
 import asyncio
 import contextlib
--- a/features/targets/events.feature
+++ b/features/targets/events.feature
@@ -1,11 +1,12 @@
 Feature: Streams are cut only between events
 
   Scenario Outline: <bytes> hand on <whole> and then, at the end, <rest>
-    A target stops in the middle of an event. Had the half gone out, a continuation
-    would join pieces of two events into one.
-    When a stream brings <bytes>
-    Then it hands on <whole> and its last id is <id>
-    And at a good end <rest> follow
+    A target stops in the middle of an event. If the partial event were sent to the
+    caller, a continuation would join parts of two events into one.
+
+    When the splitter is fed <bytes>
+    Then it returns <whole> and its last id is <id>
+    And at the regular end of the stream it returns <rest>
 
     Examples:
       | bytes                        | whole                | id   | rest      |
@@ -14,7 +15,8 @@
       | data: a\n                    | nothing              | None | data: a\n |
 
   Scenario: An event that never ends is not held for ever
-    A target streams and never ends its event. Held whole, it would take the memory
-    of the daemon, and every request on it with it.
-    When 64 KB come again and again without the end of an event
-    Then it is given up as broken after at most 1 MB
+    A target sends an event that never ends. Without a limit, the buffered event
+    would exhaust the daemon's memory, and all its requests would fail.
+
+    When the splitter is fed 64 KB repeatedly without the end of an event
+    Then it raises an error after at most 1 MB
--- a/features/targets/reports.feature
+++ b/features/targets/reports.feature
@@ -1,45 +1,45 @@
 Feature: What engines report steers the daemon, late and with gaps as it comes
 
   Scenario: Lost cache events are counted and nothing is read twice
-    An engine publishes its cache events late and loses some. A daemon that took
-    the rest for the whole would send requests to blocks that are long evicted.
+    An engine publishes its cache events late and loses some. A daemon that does not
+    notice the gaps would route requests to blocks that were evicted long ago.
 
     Given an engine that loses half of its cache events
-    When an observer follows it while 30 prompts run
+    When an observer polls it while 30 prompts run
     Then the observed events are in order, each once
-    And the events lost are those missing between them
+    And the number of lost events is the number missing between them
 
   Scenario: Events of a restarted engine are read from its first one
-    The engine crashes and comes back empty, counting from 1. Asked for events
-    after the old sequence it has nothing to say, and the daemon would believe in
-    its old cache for hours.
+    The engine crashes, restarts empty and numbers its events from 1 again. A read
+    after the old sequence number returns nothing, and the daemon would assume the
+    old cache contents for hours.
 
     Given an engine that loses no cache events
-    When an observer follows it while 5 prompts run
+    When an observer polls it while 5 prompts run
     And the engine crashes, comes back and runs 2 prompts
-    Then the observer has passed on the new life's events from the first
-    And the observer names the new boot id
+    Then the observer has passed on the new incarnation's events from the first
+    And the observer reports the new boot id
 
   Scenario: A new life that has already counted past the old one is read whole
-    The engine was back and busy before anyone asked it, so its answer to "after
+    The engine restarted and worked before the next poll, so its response to "after
     5" looks like a continuation. Its first events would never be read.
 
-    Given cache events 1 to 5 of one life were read
-    When the answer to "after 5" holds events 6 to 8 of another life
-    Then none of them is taken, and after asking from the start all 8 are
+    Given cache events 1 to 5 of one incarnation were read
+    When the response to "after 5" has events 6 to 8 of another incarnation
+    Then none of them is returned, and a read from the start returns all 8
 
   Scenario: A load report counts from when it was measured
     Given an engine whose load reports are 0.4 seconds old
-    When an observer follows it while 5 prompts run
-    Then the load reports were measured at least 0.4 seconds before they came
+    When an observer polls it while 5 prompts run
+    Then the load reports were measured at least 0.4 seconds before they arrived
 
   Scenario Outline: An engine's own words decide whether it gets new work
     Given an engine that loses no cache events
-    When the engine is <state> and an observer asks
-    Then the sign of its state is "<sign>"
+    When the engine is <state> and an observer polls it
+    Then the signal of its state is "<signal>"
 
     Examples:
-      | state   | sign    |
+      | state   | signal  |
       | serving | serving |
       | loading | warming |
       | standby | leaving |
@@ -47,13 +47,13 @@
       | stopped | gone    |
 
   Scenario Outline: Asking keeps to its budget however large the fleet is
-    540 daemons that each asked 12,000 servers for three reports a second would
-    spend all they have on control.
+    If each of 540 daemons read three reports a second from 12,000 servers, control
+    traffic would use up their bandwidth.
 
-    When a plan with <budget> calls a second follows <n_targets> targets, <n_in_use> in use, for 120 seconds
-    Then it asks at most <most> times a second
-    And each target in use is asked for each report at least every <period> seconds
-    And each other target is asked for its health at least every <idle> seconds
+    When a plan with <budget> calls a second polls <n_targets> targets, <n_in_use> in use, for 120 seconds
+    Then it polls at most <most> times a second
+    And each target in use is polled for each report at least every <period> seconds
+    And each other target is polled for its health at least every <idle> seconds
 
     Examples:
       | budget | n_targets | n_in_use | most | period | idle   |
--- a/features/targets/steps/bed.py
+++ b/features/targets/steps/bed.py
@@ -1,4 +1,4 @@
-"""An engine, the client and a relay before it, as the daemon's front uses them."""
+"""An engine, its client and a relay, connected as in the daemon."""
 
 import asyncio
 import json
@@ -35,8 +35,8 @@
 
 
 @dataclass
-class Bed:
-    """What a scenario has started and seen."""
+class TestBed:
+    """The components that a scenario has started, and the results it observed."""
 
     engine: object
     client: object
@@ -89,7 +89,7 @@
     client = make_engine_client(SETTINGS, SystemClock())
     await client.start()
     stack.push_async_callback(client.stop)
-    bed = Bed(engine, client)
+    bed = TestBed(engine, client)
     app = web.Application()
     app.router.add_get("/{n_tokens}/{elsewhere}", lambda request: serve(bed, request))
     runner = web.AppRunner(
@@ -103,7 +103,7 @@
 
 
 async def serve(bed, request):
-    """Relay one answer; continue it on the second engine when asked to."""
+    """Relay one answer; continue it on the second engine if the path allows it."""
     call = bed.call(int(request.match_info["n_tokens"]))
     response = web.StreamResponse()
     bed.transport = request.transport
@@ -132,7 +132,7 @@
 
 
 async def read_directly(bed, n_tokens):
-    """Read an answer piece by piece, as sinks that keep it do."""
+    """Read an answer piece by piece, as sinks that collect it do."""
     started = await bed.client.start_call(bed.call(n_tokens))
     stream = started.unwrap()
     try:
--- a/features/targets/steps/calls.py
+++ b/features/targets/steps/calls.py
@@ -17,10 +17,10 @@
 from lycheepost.targets.service import make_service_client
 
 
-def start(context, part):
-    context.run(part.start())
-    context.stack.push_async_callback(part.stop)
-    return part
+def start(context, component):
+    context.run(component.start())
+    context.stack.push_async_callback(component.stop)
+    return component
 
 
 @given("a plain service")
@@ -54,16 +54,16 @@
     context.service.freeze()
 
 
-@given("a server that cuts each connection after the request")
-def given_cutter(context):
+@given("a server that closes each connection after the request")
+def given_closing_server(context):
     context.n_requests = 0
 
-    async def cut(reader, writer):
+    async def close(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         context.n_requests += 1
         writer.close()
 
-    server = context.run(asyncio.start_server(cut, "127.0.0.1", 0))
+    server = context.run(asyncio.start_server(close, "127.0.0.1", 0))
     context.stack.callback(server.close)
     context.url = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
--- a/features/targets/steps/checker.py
+++ b/features/targets/steps/checker.py
@@ -1,4 +1,4 @@
-"""Steps on the checker of events alone, for all ways to cut its input."""
+"""Steps on the event checker alone, with its input split into reads of any size."""
 
 from behave import given, then, when
 from hypothesis import given as reads
@@ -37,12 +37,12 @@
     return parts
 
 
-@given('events that come in reads of any size with "{fault}" among them')
+@given('events in reads of any size with "{fault}" among them')
 def given_events(context, fault):
     context.fault = fault
 
 
-@when("each read is checked and the rest is asked for after each fault")
+@when("each read is checked and the rest is requested after each fault")
 def when_checked(context):
     context.results = []
 
@@ -67,10 +67,8 @@
     check()
 
 
-@then(
-    'what is let through is the whole answer, or its own start where "{fault}" ends it'
-)
-def then_let_through(context, fault):
+@then('what is passed is the whole answer, or its own start where "{fault}" ends it')
+def then_passed(context, fault):
     assert len(context.results) >= 100
     for passed, at, checker in context.results:
         n = at if fault == "crossed" else N_EVENTS
--- a/features/targets/steps/events.py
+++ b/features/targets/steps/events.py
@@ -10,7 +10,7 @@
     return b"" if text == "nothing" else text.encode().decode("unicode_escape").encode()
 
 
-@when("64 KB come again and again without the end of an event")
+@when("the splitter is fed 64 KB repeatedly without the end of an event")
 def step_endless(context):
     splitter = EventSplitter()
     context.n_taken = 0
@@ -23,28 +23,28 @@
         context.error = error
 
 
-@then("it is given up as broken after at most 1 MB")
-def step_given_up(context):
+@then("it raises an error after at most 1 MB")
+def step_raises(context):
     assert context.error is not None, context.n_taken
     assert context.n_taken <= 1024 * 1024, context.n_taken
 
 
-@when("a stream brings {text}")
-def step_brings(context, text):
+@when("the splitter is fed {text}")
+def step_fed(context, text):
     context.splitter = EventSplitter()
-    # Byte by byte, as the worst network does.
+    # One byte at a time, the smallest possible reads.
     parts = to_bytes(text)
     context.whole = b"".join(
         context.splitter.feed(parts[index : index + 1]) for index in range(len(parts))
     )
 
 
-@then("it hands on {whole} and its last id is {last_id}")
-def step_hands_on(context, whole, last_id):
+@then("it returns {whole} and its last id is {last_id}")
+def step_returns(context, whole, last_id):
     assert context.whole == to_bytes(whole), context.whole
     assert str(context.splitter.last_id) == last_id
 
 
-@then("at a good end {rest} follow")
+@then("at the regular end of the stream it returns {rest}")
 def step_rest(context, rest):
     assert context.splitter.flush() == to_bytes(rest)
--- a/features/targets/steps/reports.py
+++ b/features/targets/steps/reports.py
@@ -67,7 +67,7 @@
     context.seen = defaultdict(list)
     clock = SystemClock()
     callbacks = ObserverCallbacks(
-        on_signal=lambda target, sign: context.seen["signs"].append(sign),
+        on_signal=lambda target, signal: context.seen["signals"].append(signal),
         on_load=lambda report: context.seen["loads"].append(
             (clock.now_seconds(), report)
         ),
@@ -79,9 +79,9 @@
         target="t", target_group="g", availability_zone="z", url=context.engine.url
     )
     context.observer.replace_targets([target])
-    for part in (control, context.observer):
-        context.run(part.start())
-        context.stack.push_async_callback(part.stop)
+    for component in (control, context.observer):
+        context.run(component.start())
+        context.stack.push_async_callback(component.stop)
 
 
 async def run_prompts(engine, n, text):
@@ -93,7 +93,7 @@
                 assert answer.status == 200
 
 
-@when("an observer follows it while {n:d} prompts run")
+@when("an observer polls it while {n:d} prompts run")
 def when_observed(context, n):
     observe(context)
     context.run(run_prompts(context.engine, n, "prompt"))
@@ -119,15 +119,15 @@
     assert sequences == sorted(set(sequences)) and sequences
 
 
-@then("the events lost are those missing between them")
+@then("the number of lost events is the number missing between them")
 def then_lost(context):
     sequences = [event.sequence for event in context.seen[context.first_boot]]
     lost = context.observer.status()["n_events_lost"]
     assert lost == sequences[-1] - len(sequences) > 0, (lost, sequences)
 
 
-@then("the observer has passed on the new life's events from the first")
-def then_new_life(context):
+@then("the observer has passed on the new incarnation's events from the first")
+def then_new_incarnation(context):
     sequences = [event.sequence for event in context.seen[context.engine.boot_id]]
     assert sequences == [1, 2], sequences
     assert [event.sequence for event in context.seen[context.first_boot]]
@@ -141,55 +141,55 @@
     return CacheEvents(boot_id=boot_id, events=events)
 
 
-@given("cache events 1 to 5 of one life were read")
+@given("cache events 1 to 5 of one incarnation were read")
 def given_cursor(context):
     context.cursor = EventCursor()
     assert len(context.cursor.advance(events_of("a", 1, 5))) == 5
 
 
-@when('the answer to "after 5" holds events 6 to 8 of another life')
-def when_other_life(context):
+@when('the response to "after 5" has events 6 to 8 of another incarnation')
+def when_other_incarnation(context):
     context.taken = context.cursor.advance(events_of("b", 6, 8))
 
 
-@then("none of them is taken, and after asking from the start all 8 are")
+@then("none of them is returned, and a read from the start returns all 8")
 def then_from_start(context):
     assert context.taken is None and context.cursor.sequence == 0
     assert len(context.cursor.advance(events_of("b", 1, 8))) == 8
     assert context.cursor.n_lost == 0
 
 
-@then("the observer names the new boot id")
+@then("the observer reports the new boot id")
 def then_new_boot(context):
     assert context.observer.incarnations() == {"t": context.engine.boot_id}
 
 
-@then("the load reports were measured at least {seconds:g} seconds before they came")
+@then("the load reports were measured at least {seconds:g} seconds before they arrived")
 def then_measured(context, seconds):
-    # The first reports come before the engine has a history of that length.
+    # The first reports arrive before the engine has a history of that length.
     context.seen["loads"].clear()
     context.run(asyncio.sleep(2 * seconds))
-    came, report = context.seen["loads"][-1]
-    assert came - report.measured_seconds >= seconds
+    arrived, report = context.seen["loads"][-1]
+    assert arrived - report.measured_seconds >= seconds
 
 
-@when("the engine is {state} and an observer asks")
+@when("the engine is {state} and an observer polls it")
 def when_state(context, state):
     if state == "stopped":
         context.run(context.engine.stop())
     else:
         context.engine.desk.state = EngineHealthState(state)
     observe(context)
-    context.run(wait_until(lambda: context.seen["signs"]))
+    context.run(wait_until(lambda: context.seen["signals"]))
 
 
-@then('the sign of its state is "{sign}"')
-def then_sign(context, sign):
-    assert context.seen["signs"][-1].state.value == sign
+@then('the signal of its state is "{signal}"')
+def then_signal(context, signal):
+    assert context.seen["signals"][-1].state.value == signal
 
 
 @when(
-    "a plan with {budget:d} calls a second follows {n_targets:d} targets, "
+    "a plan with {budget:d} calls a second polls {n_targets:d} targets, "
     "{n_in_use:d} in use, for {seconds:d} seconds"
 )
 def when_planned(context, budget, n_targets, n_in_use, seconds):
@@ -206,9 +206,9 @@
             context.asked[poll].append(step / 20)
 
 
-@then("it asks at most {most:d} times a second")
+@then("it polls at most {most:d} times a second")
 def then_budget(context, most):
-    # The first periods spread the fleet; the pace counts from then on.
+    # The first periods spread the polls of the fleet; the rate is checked after them.
     half = context.seconds / 2
     n_late = Counter()
     for times in context.asked.values():
@@ -216,12 +216,12 @@
     assert n_late["calls"] <= most * half, n_late["calls"] / half
 
 
-@then("each target in use is asked for each report at least every {period:g} seconds")
+@then("each target in use is polled for each report at least every {period:g} seconds")
 def then_in_use(context, period):
     check_period(context, context.in_use, period, set(ReportKind))
 
 
-@then("each other target is asked for its health at least every {idle:g} seconds")
+@then("each other target is polled for its health at least every {idle:g} seconds")
 def then_idle(context, idle):
     others = set(context.targets) - context.in_use
     check_period(context, others, idle, {ReportKind.HEALTH})
--- a/features/targets/steps/reuse_steps.py
+++ b/features/targets/steps/reuse_steps.py
@@ -18,11 +18,11 @@
 from lycheepost.targets.forward import ForwardClient
 from lycheepost.targets.forwardcall import ForwardCall
 
-CALLS = 12
-ANSWER_SECONDS = 0.05
-"""A call to a target that says nothing is given up after this."""
+CALLS_PER_RUN = 12
+CALL_TIMEOUT_SECONDS = 0.05
+"""Time-out of a call, after which it is cancelled."""
 
-DEEDS = (
+BEHAVIOURS = (
     ("whole", 12),
     ("twice", 2),
     ("late again", 2),
@@ -44,8 +44,8 @@
 
 
 @dataclass
-class Seen:
-    """What a run came to."""
+class RunResult:
+    """The calls that a run observed and the errors that it found."""
 
     arrivals: list = field(default_factory=list)
     wrong: list = field(default_factory=list)
@@ -58,7 +58,7 @@
     return (f"answer to {attempt} " * 5).encode()
 
 
-def head(attempt, length=None):
+def response_head(attempt, length=None):
     lines = ["HTTP/1.1 200 OK", f"{names.SEAL}: seal"]
     if attempt is not None:
         lines.append(f"{names.ATTEMPT_ID}: {attempt}")
@@ -69,13 +69,13 @@
 
 def whole(attempt):
     body = body_of(attempt)
-    return head(attempt, len(body)) + body
+    return response_head(attempt, len(body)) + body
 
 
 def reset(writer):
-    """Reset a connection; closed plainly, what is missing could not be told."""
+    """Reset a connection, because a plain close looks like the end of the body."""
     if writer.transport.is_closing():
-        # The daemon's side was faster; there is nothing left to reset.
+        # The client has closed it already.
         return
     connection = writer.get_extra_info("socket")
     at_once = struct.pack("ii", 1, 0)
@@ -83,15 +83,15 @@
     writer.transport.abort()
 
 
-class Misbehaving:
-    """A target that misbehaves as its seed says."""
+class FaultyTarget:
+    """A target whose faults are determined by a seed."""
 
     def __init__(self, rng, seen):
         self.rng, self.seen = rng, seen
-        self.names, self.weights = zip(*DEEDS, strict=True)
+        self.names, self.weights = zip(*BEHAVIOURS, strict=True)
         self.tasks = set()
 
-    async def serve(self, reader, writer):
+    async def serve_connection(self, reader, writer):
         n_calls = 0
         self.tasks.add(asyncio.current_task())
         try:
@@ -117,10 +117,10 @@
         return fields[names.ATTEMPT_ID.lower()]
 
     async def answer(self, attempt, writer):
-        """Do one deed; return whether the connection goes on."""
+        """Respond with one behaviour; return whether the connection stays open."""
         body = body_of(attempt)
-        deed = self.rng.choices(self.names, self.weights)[0]
-        match deed:
+        behaviour = self.rng.choices(self.names, self.weights)[0]
+        match behaviour:
             case "whole":
                 writer.write(whole(attempt))
             case "twice":
@@ -133,15 +133,15 @@
             case "other id":
                 writer.write(whole("of-another"))
             case "no id":
-                writer.write(head(None, len(body_of("x"))) + body_of("x"))
+                writer.write(response_head(None, len(body_of("x"))) + body_of("x"))
             case "broken off":
                 writer.write(whole(attempt)[: -self.rng.randint(1, len(body))])
                 return False
             case "no length":
-                writer.write(head(attempt) + body)
+                writer.write(response_head(attempt) + body)
                 return False
             case "no length, reset":
-                writer.write(head(attempt) + body[:20])
+                writer.write(response_head(attempt) + body[:20])
                 await writer.drain()
                 await asyncio.sleep(0.002)
                 reset(writer)
@@ -149,7 +149,7 @@
             case "noise":
                 writer.write(b"\x00\x01 no answer\r\n\r\n")
             case "silence":
-                await asyncio.sleep(4 * ANSWER_SECONDS)
+                await asyncio.sleep(4 * CALL_TIMEOUT_SECONDS)
             case "closes first":
                 return False
             case "closes after":
@@ -183,7 +183,7 @@
 
 async def send(client, call, seen):
     try:
-        async with asyncio.timeout(ANSWER_SECONDS):
+        async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
             match await client.send(call):
                 case Success(answer):
                     pass
@@ -204,14 +204,15 @@
 
 async def run_calls(seed):
     rng = random.Random(seed)
-    seen = Seen()
-    target = Misbehaving(rng, seen)
-    server = await asyncio.start_server(target.serve, "127.0.0.1", 0)
+    seen = RunResult()
+    target = FaultyTarget(rng, seen)
+    server = await asyncio.start_server(target.serve_connection, "127.0.0.1", 0)
     address = "127.0.0.1:" + str(server.sockets[0].getsockname()[1])
     client = ForwardClient(StreamSettings(connect_seconds=1.0), ServerDialect())
     await client.start()
     calls = [
-        make_call(f"{seed}-{n}", address, rng.random() < 0.8) for n in range(CALLS)
+        make_call(f"{seed}-{n}", address, rng.random() < 0.8)
+        for n in range(CALLS_PER_RUN)
     ]
     while calls:
         n_together = rng.choice((1, 1, 1, 3))
@@ -237,12 +238,12 @@
         seen.n_reused += sum(n > 1 for n in found)
 
 
-@when("{n:d} seeded runs of calls go to a target that misbehaves")
+@when("{n:d} seeded runs of calls go to a faulty target")
 def step_runs(context, n):
     context.seen = {seed: context.run(run_calls(seed)) for seed in range(n_runs(n))}
 
 
-@then("no call got bytes that were not its own answer whole")
+@then("no call got anything but its own complete response")
 def step_own(context):
     wrong = {seed: seen.wrong for seed, seen in context.seen.items() if seen.wrong}
     assert not wrong, wrong
@@ -260,6 +261,6 @@
     assert n_once > len(context.seen), n_once
 
 
-@then("some connections were used again")
-def step_again(context):
+@then("some connections were reused")
+def step_reused(context):
     assert sum(seen.n_reused for seen in context.seen.values()) > len(context.seen)
--- a/features/targets/steps/streams.py
+++ b/features/targets/steps/streams.py
@@ -15,7 +15,7 @@
 from lycheepost.targets.calls import CHAT_PATH, COMPLETION_PATH
 
 
-@given("an engine and a relay before it")
+@given("an engine and a relay in front of it")
 def given_bed(context):
     context.bed = context.run(open_bed(context.stack))
 
@@ -71,7 +71,7 @@
 
 
 def run_bounded(context, reading):
-    """Fail instead of hanging when an answer neither comes nor is given up."""
+    """Read an answer with a time-out, so that a test fails instead of hanging."""
     context.run(asyncio.wait_for(reading, 15))
 
 
@@ -103,7 +103,7 @@
     context.run(leave())
 
 
-@when("a caller takes nothing of {n:d} tokens for a second")
+@when("a caller reads nothing of {n:d} tokens for a second")
 def when_slow(context, n):
     bed = context.bed
     sock = socket.socket()
@@ -125,10 +125,10 @@
     context.run(ask())
 
 
-@then("the relay holds less than {n:d} bytes for it")
+@then("the relay buffers less than {n:d} bytes for it")
 def then_bounded(context, n):
-    held = context.bed.transport.get_write_buffer_size()
-    assert 0 < held < n, held
+    buffered = context.bed.transport.get_write_buffer_size()
+    assert 0 < buffered < n, buffered
 
 
 @then("the caller then reads all {n:d} tokens")
@@ -195,7 +195,7 @@
     assert context.bed.seconds < n, context.bed.seconds
 
 
-@then("the usage tells {n:d} tokens")
+@then("the usage is {n:d} tokens")
 def then_usage(context, n):
     assert context.bed.outcome.usage.completion_tokens == n, context.bed.outcome
     assert b'"completion_tokens":%d' % n in context.bed.raw
--- a/features/targets/streams.feature
+++ b/features/targets/streams.feature
@@ -1,12 +1,12 @@
 Feature: An answer arrives whole, in order and as its caller's own, or explicitly not
 
   Background:
-    Given an engine and a relay before it
+    Given an engine and a relay in front of it
 
   Scenario Outline: A fault of one connection heals without the caller seeing it
-    A summary stops in the middle of a word, or a line of it comes twice. The
-    engine still generates it: something between the two ends broke, forgot or
-    repeated what one connection carried. A new connection has the rest.
+    A connection to the engine breaks, falls silent, or repeats or skips events while
+    the engine continues to generate. The rest is read over a new connection;
+    otherwise the caller's summary would stop in the middle or repeat a line.
 
     Given the engine's next answer shows "<fault>"
     When a caller asks for 12 tokens <way>
@@ -31,13 +31,13 @@
       | Skipped(3)                   | piece by piece |
 
   Scenario Outline: Events before a fault are delivered although one read brought both
-    The engine is fast and the daemon busy, so one read holds several events, a
-    fault among them. Were the good ones before it dropped, the resume would go
-    on after them and the caller would miss words in the middle.
+    The engine is fast and the daemon busy, so one read contains several events with
+    a fault among them. If the valid events before it were dropped, the resume would
+    start after them and the caller would miss words in the middle.
 
-    Given events that come in reads of any size with "<fault>" among them
-    When each read is checked and the rest is asked for after each fault
-    Then what is let through is the whole answer, or its own start where "<fault>" ends it
+    Given events in reads of any size with "<fault>" among them
+    When each read is checked and the rest is requested after each fault
+    Then what is passed is the whole answer, or its own start where "<fault>" ends it
 
     Examples:
       | fault   |
@@ -47,9 +47,9 @@
       | crossed |
 
   Scenario Outline: What cannot be had from the target never looks finished
-    A caseworker reads half a summary and takes it for the whole, because the
-    stream simply stopped. The target crashed, sent another request's events or
-    could not be reached for the rest.
+    The target crashes, sends another request's events or cannot be reached for the
+    rest. If the stream ended normally, a caseworker would assume that half a summary
+    is complete.
 
     Given the engine's next answer shows "<fault>"
     And the engine's next resumes show "<resumes>"
@@ -70,8 +70,8 @@
       | Truncated(4) | Crossed(6)   | over a relay   | StreamCrossed | 4        |
 
   Scenario Outline: A failed call tells whether the request may have run
-    A caller is told "not run" and sends its order again. That is only right if
-    the target certainly never began.
+    A caller that is told "not run" sends its order again. This is correct only if
+    the target certainly did not start the order.
 
     Given the engine's next answer shows "<fault>"
     When a caller asks for 12 tokens over a relay
@@ -97,9 +97,9 @@
     Then the call fails with "TargetRefused", run "no"
 
   Scenario: A restarted engine cannot finish the answer of its earlier life
-    An engine crashes and is back within a second under the same address. It
-    happens to know the request's id again and would send events of another run.
-    The boot id in its answer tells the two lives apart.
+    An engine crashes and restarts within a second at the same address. It knows the
+    request's id again, but its events belong to another run. The boot id in its
+    response distinguishes the two incarnations.
 
     Given the engine's next answer shows "Truncated(4)"
     And the engine's next resumes show "OtherBoot()"
@@ -108,15 +108,15 @@
     And the caller has the first 3 tokens of its own answer and no end
 
   Scenario Outline: Another engine finishes an idempotent answer of a dead one
-    The engine dies in the middle of a caption. The caller's stream goes on from
-    another engine, which is given the words so far: same numbering, no word
-    missing or twice, and the usage counts the whole answer.
+    The engine crashes in the middle of a caption. Another engine gets the words
+    delivered so far and continues the caller's stream: the numbering continues, no
+    word is missing or repeated, and the usage covers the whole answer.
 
     Given a second engine
     And the engine's next answer shows "CrashAt(<after>)"
     When a caller asks for 12 tokens of a <kind>, to be continued elsewhere
     Then the caller has the whole answer, numbered without a gap
-    And the usage tells 12 tokens
+    And the usage is 12 tokens
 
     Examples:
       | kind       | after |
@@ -127,25 +127,25 @@
       | completion | 7     |
 
   Scenario: The engine stops when the caller leaves
-    A shopper walks away from the kiosk. The engine would go on for thousands of
-    tokens that nobody reads.
+    A shopper leaves the kiosk. Without a cancel call, the engine would generate
+    thousands of tokens that are not read.
 
     When a caller leaves after 3 tokens of 4000
     Then the engine's request is cancelled before its end
 
   Scenario: A slow caller holds its target back and fills no memory
-    A phone on a bad line reads a long summary at a crawl while the engine is
-    done in a second. What the daemon holds for it stays bounded, and the caller
-    still gets every word.
+    A phone on a slow line reads a long summary that the engine generates within a
+    second. The daemon's buffer for it stays bounded, and the caller still gets every
+    word.
 
     Given the engine generates without a pause
-    When a caller takes nothing of 20000 tokens for a second
-    Then the relay holds less than 700000 bytes for it
+    When a caller reads nothing of 20000 tokens for a second
+    Then the relay buffers less than 700000 bytes for it
     And the caller then reads all 20000 tokens
 
   Scenario: A pooled connection that idled for long is not trusted
-    Something between daemon and engine forgets a connection that was idle over
-    night. The first request of the morning would vanish in it.
+    A device between daemon and engine drops the state of a connection that was idle
+    overnight. The first request of the morning would be lost on it.
 
     When a caller asks for 12 tokens over a relay
     And the engine's open connections go silent and 0.5 seconds pass
@@ -153,9 +153,9 @@
     Then the caller has the whole answer, numbered without a gap
 
   Scenario: A request that vanished in a dead connection is noticed early
-    The pooled connection died while it was still fresh. The request goes in and
-    nothing comes back; waiting out the bound for the first byte would cost the
-    caller its patience.
+    A pooled connection breaks while it may still be reused. A request sent on it
+    gets no response; if the daemon waited for the whole first-byte time-out, the
+    caller could time out.
 
     When a caller asks for 12 tokens over a relay
     And the engine's open connections go silent and 0 seconds pass
