--- a/features/promises/environment.py
+++ b/features/promises/environment.py
@@ -1,4 +1,4 @@
-"""The hooks that features/promises shares with its neighbours."""
+"""The hooks that features/promises shares with its sibling folders."""
 
 import pathlib
 import sys
--- a/features/promises/promises.feature
+++ b/features/promises/promises.feature
@@ -1,17 +1,17 @@
 Feature: What must always hold
   Scenario: A router that restarts serves immediately
-    A VM is replaced in the middle of the day. Its daemon comes up with nothing;
-    a caller that reaches it at once must be served or told to come back, never
-    that its key is wrong.
+    A VM is replaced during the day. Its daemon starts without state. A caller that
+    reaches it immediately must be served or told to try again later, never that its
+    key is wrong.
 
     Given a running fleet
-    When a daemon restarts and is asked at once, again and again
+    When a daemon restarts and immediately gets requests, repeatedly
     Then it never says that the key is wrong
     And it answers a completion within 2 seconds
 
   Scenario: A router that restarts while the platform is down serves
     The platform is down for hours and a VM is replaced. The new daemon gets the
-    configuration from its peers, in force as before, and serves.
+    current configuration from its peers and serves.
 
     Given a running fleet
     And the platform is down
@@ -21,17 +21,17 @@
     And an order is refused as not run and did not run
 
   Scenario: A configuration never reverts
-    Operators change the configuration while one daemon is cut off and another
-    restarts. Nobody may fall back to an older revision, also not while the
-    table answers with old rows.
+    Operators change the configuration while one daemon is disconnected and another
+    restarts. No daemon may fall back to an older revision, even while the table
+    returns old rows.
 
     Given a running fleet
-    When 5 changes are accepted while a daemon restarts and old news comes late
+    When 5 changes are accepted while a daemon restarts and old updates arrive late
     Then every daemon reaches the last revision within 4 seconds
     And no daemon ever showed a lower revision than before
 
   Scenario: A leaving target gets no new work after a few seconds
-    Operators retire a target during traffic. Its VM goes away a little later.
+    Operators retire a target during traffic. Its VM is removed shortly afterwards.
 
     Given a running fleet
     When an operator retires engine 0 and confirms it during traffic
@@ -39,12 +39,13 @@
     And the audit finds nothing wrong
 
   Scenario Outline: Operators race
-    Two operators plan against the same configuration and both confirm. One
-    wins; the other is told what moved, and nothing of its plan is applied.
+    Two operators plan against the same configuration and both confirm. One plan is
+    applied; the other operator is told what has changed, and nothing of that plan is
+    applied.
 
     Given a running fleet
     When two operators confirm plans on one basis, <how>
-    Then exactly one is in force and the other was told what moved
+    Then exactly one is in force and the other was told what has changed
 
     Examples:
       | how                                             |
@@ -59,28 +60,28 @@
     Then the revision is still 1 and engine 0 still gets work
 
   Scenario: One request crashes each target that runs it
-    A caller sends a prompt that crashes the engine, and sends it again when it
-    fails, through every daemon. After two engines nobody may run it, and the
-    others' requests on those engines are answered.
+    A caller sends a prompt that crashes the engine, and repeats it through every
+    daemon when it fails. After two crashes no engine may run it. Other requests on
+    the crashed engines are still answered.
 
     Given a running fleet
     When a caller sends a crashing prompt 6 times through all daemons during traffic
     Then at most 2 engines have crashed
-    And the caller is told that it is not tried again
+    And the caller is told that the prompt is not retried
     And the audit finds nothing wrong
 
   Scenario Outline: A non-idempotent call runs at most once
-    A kiosk sends an order and <trouble>. It sends the same key again, through
-    every daemon. The lab must see the order once, and each answer that comes
-    must be the first one, byte for byte.
+    A kiosk sends an order and <failure>. It repeats the order with the same key
+    through every daemon. The lab must run the order once, and all answers must have
+    the same bytes as the first.
 
     Given a running fleet
-    When an order is sent 5 times through all daemons and <trouble>
+    When an order is sent 5 times through all daemons and <failure>
     Then the order ran <runs>
     And every answer to it is the same, or says that the outcome is unknown
 
     Examples:
-      | trouble                              | runs           |
+      | failure                              | runs           |
       | nothing happens                      | exactly once   |
       | the service's answer is lost         | exactly once   |
       | the service crashes before the run   | at most once   |
@@ -95,8 +96,8 @@
     Then it is refused with 422 and has not run
 
   Scenario: One customer's requests never use another's cache
-    Two customers send the same long prompt to one engine. The second must pay
-    for its own prompt: a faster answer would tell what others ask.
+    Two customers send the same long prompt to one engine. The second must not use the
+    first one's cache, because a faster answer would reveal what others ask.
 
     Given a running fleet
     When two customers send the same prompt, the first one three times
@@ -104,11 +105,11 @@
     And the second customer's did not
 
   Scenario: A graceful shutdown cuts no request
-    A VM is told to leave while long answers run and more arrive.
+    A VM is shut down while its daemon relays long answers.
 
     Given a running fleet
     When daemon 1 drains and stops while 20 long answers run through it
-    Then all 20 answers are whole
+    Then all 20 answers are complete
 
   Scenario: A slow caller costs bounded memory and its leaving frees the engine
     Given a running fleet
--- a/features/promises/steps/always_steps.py
+++ b/features/promises/steps/always_steps.py
@@ -1,4 +1,4 @@
-"""Steps for single promises: restarts, configuration, operators, orders."""
+"""Steps for restarts, configuration, operators, orders, streams and caches."""
 
 import asyncio
 import json
@@ -16,21 +16,22 @@
     n_runs,
     order,
 )
-from fleet import POISON
+from fleet import CRASH_TEXT
 from promise_steps import run
 from returns.pipeline import is_successful
 
 from lycheepost.standin.faults import CrashAfterRun, CrashBeforeRun, LostAnswer
 
 LONG_TOKENS = 1200
-"""More than two seconds; a listener that is closed waits one."""
+"""Tokens that take more than two seconds, longer than the one second that a listener
+waits when it is closed."""
 
 
 # Restarts
 
 
-@when("a daemon restarts and is asked at once, again and again")
-def when_asked_at_once(context):
+@when("a daemon restarts and immediately gets requests, repeatedly")
+def when_requests_after_restart(context):
     fleet = context.fleet
     url = fleet.urls()[1]
 
@@ -109,7 +110,7 @@
 # Configuration
 
 
-@when("{n:d} changes are accepted while a daemon restarts and old news comes late")
+@when("{n:d} changes are accepted while a daemon restarts and old updates arrive late")
 def when_changes(context, n):
     fleet = context.fleet
     context.seen = {index: [] for index in range(fleet.n_daemons)}
@@ -131,11 +132,11 @@
                 first, *others = revisions.accepted.customers
                 first = replace(first, share_weight=1.0 + basis)
                 changed = replace(revisions.accepted, customers=[first, *others])
-                # A refusal, because a read was stale, is tried again.
+                # A commit that fails because a read was stale is retried.
                 if is_successful(await revisions.commit(basis, changed)):
                     fleet.standins.table.faults.n_stale_reads = 3
                 await asyncio.sleep(0.01)
-                # A peer that was cut off passes on what it still holds.
+                # A peer that was disconnected publishes its old configuration.
                 for daemon in fleet.daemons:
                     daemon.state.revisions.adopt(old, "peer")
         await restarting
@@ -154,7 +155,7 @@
 def then_upward(context):
     for seen in context.seen.values():
         for before, after in zip(seen, seen[1:], strict=False):
-            # A restarted daemon begins anew; within one life it only rises.
+            # The revision of a daemon only rises; a restarted daemon starts again.
             assert before[0] != after[0] or before[1] <= after[1], (before, after)
 
 
@@ -256,7 +257,7 @@
     context.answers = run(context, act())
 
 
-@then("exactly one is in force and the other was told what moved")
+@then("exactly one is in force and the other was told what has changed")
 def then_one_won(context):
     fleet = context.fleet
     statuses = [status for status, _answer in context.answers]
@@ -276,20 +277,20 @@
 # Orders
 
 
-TROUBLES = {
+SERVICE_FAULTS = {
     "the service's answer is lost": LostAnswer(),
     "the service crashes before the run": CrashBeforeRun(),
     "the service crashes after the run": CrashAfterRun(),
 }
 
 
-@when("an order is sent {n:d} times through all daemons and {trouble}")
-def when_order(context, n, trouble):
+@when("an order is sent {n:d} times through all daemons and {failure}")
+def when_order(context, n, failure):
     fleet = context.fleet
-    if trouble in TROUBLES:
+    if failure in SERVICE_FAULTS:
         for service in fleet.standins.services:
-            service.faults.add(TROUBLES[trouble])
-    if trouble == "the table's answer is lost":
+            service.faults.add(SERVICE_FAULTS[failure])
+    if failure == "the table's answer is lost":
         fleet.standins.table.faults.n_lost_answers = 1
 
     async def act():
@@ -299,12 +300,12 @@
                 lambda number=number: order(session, fleet, urls[number % len(urls)])
                 for number in range(n)
             ]
-            if trouble == "all sends come at once":
+            if failure == "all sends come at once":
                 return await asyncio.gather(*(send() for send in sends))
             answers = []
             for number, send in enumerate(sends):
                 answers.append(await send())
-                if trouble == "the daemon that ran it restarts" and number == 0:
+                if failure == "the daemon that ran it restarts" and number == 0:
                     await fleet.restart(0)
             return answers
 
@@ -313,7 +314,7 @@
 
 @then("the order ran {runs}")
 def then_runs(context, runs):
-    # Fault plans outlive the first call: a second run would be recorded too.
+    # The record covers all calls, so a second run would be counted as well.
     n = n_runs(context.fleet)
     assert n == 1 or (runs == "at most once" and n == 0), (n, context.answers)
 
@@ -352,7 +353,7 @@
 
 
 @when("a caller sends a crashing prompt {n:d} times through all daemons during traffic")
-def when_poison(context, n):
+def when_crashing_prompt(context, n):
     fleet = context.fleet
     boots = [engine.boot_id for engine in fleet.standins.engines]
     context.answers = []
@@ -362,10 +363,10 @@
         async with aiohttp.ClientSession() as session:
             for number in range(n):
                 answer = await complete(
-                    session, fleet, urls[number % len(urls)], f"a {POISON} prompt"
+                    session, fleet, urls[number % len(urls)], f"a {CRASH_TEXT} prompt"
                 )
                 context.answers.append(answer)
-                # Published clients wait half a second before they send again.
+                # A pause before the retry; published clients wait half a second.
                 await asyncio.sleep(0.3)
 
     context.report = run(context, fleet.load_with(send, n_seconds=1.0))
@@ -380,7 +381,7 @@
     assert 1 <= context.n_crashed <= n, context.n_crashed
 
 
-@then("the caller is told that it is not tried again")
+@then("the caller is told that the prompt is not retried")
 def then_quarantined(context):
     last = context.answers[-1]
     assert last[0] == 422, context.answers
@@ -440,8 +441,8 @@
     context.answers = run(context, act())
 
 
-@then("all {n:d} answers are whole")
-def then_whole(context, n):
+@then("all {n:d} answers are complete")
+def then_complete(context, n):
     assert len(context.answers) == n
     for number, (status, document) in enumerate(context.answers):
         assert status == 200, document
--- a/features/promises/steps/calling.py
+++ b/features/promises/steps/calling.py
@@ -1,4 +1,4 @@
-"""Calls that the promises' steps make on a fleet."""
+"""Calls to a fleet, used by the steps of features/promises."""
 
 import aiohttp
 
@@ -23,7 +23,7 @@
 
 
 async def complete(session, fleet, url, prompt, customer=0, **fields):
-    """Return status, document; the connection's failure is status 0."""
+    """Return the status and document; a failed connection is status 0."""
     try:
         async with session.post(
             f"{url}/v1/chat/completions",
--- a/features/promises/steps/failures.py
+++ b/features/promises/steps/failures.py
@@ -1,4 +1,4 @@
-"""Failures by the name that the feature tables give them."""
+"""Failures, by their names in the tables of the features."""
 
 import asyncio
 
@@ -106,11 +106,11 @@
 
 
 def stream_fault(fault, n_calls=2):
-    async def provoke(fleet):
+    async def inject(fleet):
         for engine in fleet.standins.engines:
             engine.faults.add(fault, n_calls=n_calls)
 
-    return provoke
+    return inject
 
 
 FAILURES = {
@@ -145,12 +145,12 @@
 }
 
 
-async def provoke_all(fleet, names):
+async def inject_all(fleet, names):
     await asyncio.gather(*(FAILURES[name](fleet) for name in names))
 
 
 def clear_counted_faults(fleet):
-    """Take back the faults that no call has shown yet."""
+    """Remove the injected faults that no call has met yet."""
     for target in (*fleet.standins.engines, *fleet.standins.services):
         target.faults.clear()
     table_faults = fleet.standins.table.faults
--- a/features/promises/steps/fleet.py
+++ b/features/promises/steps/fleet.py
@@ -1,4 +1,4 @@
-"""Whole daemons and stand-ins as tasks, with failures to provoke."""
+"""A fleet of complete daemons and stand-ins, run as tasks of one process."""
 
 import asyncio
 from dataclasses import replace
@@ -23,8 +23,8 @@
 from lycheepost.standin.ports import port_of, reserve_port
 
 N_DAEMONS = 3
-POISON = "poisonous"
-BASE = Settings(
+CRASH_TEXT = "poisonous"
+BASE_SETTINGS = Settings(
     deployment="promises",
     daemon=DaemonSettings(daemon_id="x", availability_zone="z", region="r"),
     platform=PlatformSettings(
@@ -34,7 +34,7 @@
         vm_list_url="http://x",
         timeout_seconds=0.5,
     ),
-    # Short bounds, so that a scenario sees them run out.
+    # Short time-outs, so that they expire within a scenario.
     streams=StreamSettings(silence_seconds=0.5, first_byte_seconds=2.0),
     targets=TargetSettings(health_poll_seconds=0.2),
 )
@@ -45,7 +45,7 @@
         shape = replace(
             demo_shape(),
             engine=EngineStandinSettings(
-                crash_text=POISON,
+                crash_text=CRASH_TEXT,
                 restart_seconds=0.4,
                 timing=make_speeds(iteration_seconds=0.002),
             ),
@@ -61,8 +61,10 @@
         await self.standins.start()
         for _ in range(self.n_daemons):
             seeds = [peer_address(daemon) for daemon in self.daemons]
-            settings = make_demo_settings(self.standins, seeds, self.operator_key, BASE)
-            # A restart comes back on the same port, as a VM's daemon does.
+            settings = make_demo_settings(
+                self.standins, seeds, self.operator_key, BASE_SETTINGS
+            )
+            # A daemon restarts on the same port, as on a VM.
             self.held_ports.append(reserve_port(settings.listeners.host))
             port = port_of(self.held_ports[-1])
             listeners = replace(settings.listeners, callers_port=port)
@@ -128,13 +130,13 @@
         )
         return replace(plan, **fields)
 
-    async def load_with(self, provoke, after_seconds=0.15, quiet_seconds=0, **fields):
-        """Send traffic, provoke something meanwhile, and return the report."""
+    async def load_with(self, inject, after_seconds=0.15, quiet_seconds=0, **fields):
+        """Send traffic, inject a failure meanwhile, and return the report."""
         await asyncio.sleep(quiet_seconds)
 
         async def later():
             await asyncio.sleep(after_seconds)
-            await provoke()
+            await inject()
 
         load = asyncio.create_task(run_load(self.make_plan(**fields)))
         failure = asyncio.create_task(later())
--- a/features/promises/steps/promise_steps.py
+++ b/features/promises/steps/promise_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the promises' features."""
+"""Steps that features/promises and its sibling folders share."""
 
 import pathlib
 import sys
@@ -7,7 +7,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent))
 
-from failures import FAILURES, clear_counted_faults, provoke_all  # noqa: E402
+from failures import FAILURES, clear_counted_faults, inject_all  # noqa: E402
 from fleet import Fleet  # noqa: E402
 
 
@@ -27,7 +27,7 @@
     fleet = context.fleet
     context.report = run(
         context,
-        fleet.load_with(lambda: provoke_all(fleet, names), n_seconds=seconds),
+        fleet.load_with(lambda: inject_all(fleet, names), n_seconds=seconds),
     )
 
 
@@ -49,8 +49,8 @@
 @then("afterwards every request is answered")
 def then_afterwards(context):
     fleet = context.fleet
-    # On a busy machine fewer calls came than there were faults to show; those
-    # left belong to the failure, which has ended.
+    # On a busy machine, fewer calls are made than there are injected faults. The
+    # remaining ones belong to the failure, which has ended, and are removed.
     clear_counted_faults(fleet)
     report = run(
         context,
@@ -58,8 +58,8 @@
             lambda: FAILURES["nothing"](fleet),
             n_seconds=0.5,
             rate_per_second=30,
-            # Engines that crashed are back by then, and have shown it by one
-            # health answer; before, a refusal is right.
+            # By then, crashed engines have restarted and sent a health report;
+            # before that, a refusal is correct.
             quiet_seconds=0.5,
             after_seconds=0,
             seed=6,
--- a/features/promises_platform/environment.py
+++ b/features/promises_platform/environment.py
@@ -1,4 +1,4 @@
-"""The fleets of features/promises."""
+"""The hooks of features/promises, which start and stop the fleets."""
 
 import pathlib
 import sys
--- a/features/promises_targets/targets.feature
+++ b/features/promises_targets/targets.feature
@@ -1,14 +1,13 @@
 Feature: What must hold while targets fail
   Three daemons, four engines and two order services run as tasks of one process
-  and speak HTTP. Callers send prompts and print orders while a target or its
-  connections fail. Whatever happens, no answer is wrong, crossed or silently
-  cut, no order runs twice or is lost, and no refusal lies; afterwards all is as
-  before.
+  and communicate over HTTP. Callers send prompts and print orders while a target or
+  its connections fail. In every case no answer is wrong, belongs to another request
+  or is truncated without an error, no order runs twice or is lost, and every refusal
+  states correctly whether the request ran; afterwards all requests are answered.
 
   Scenario Outline: One failure while callers send
-    A shopper waits for a caption or a ticket. In the middle of the traffic
-    <failure>. The shopper may be refused and told so, or may wait a
-    little longer, but gets nothing wrong and no second print.
+    During traffic <failure>. A request may be refused with an error, or may take a
+    little longer, but no answer is wrong and no order is printed twice.
 
     Given a running fleet
     When callers send for 0.6 seconds and meanwhile <failure>
