--- a/features/targets/steps/calls.py
+++ b/features/targets/steps/calls.py
@@ -58,12 +58,12 @@
 def given_closing_server(context):
     context.n_requests = 0
 
-    async def close(reader, writer):
+    async def close_connection(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         context.n_requests += 1
         writer.close()
 
-    server = context.run(asyncio.start_server(close, "127.0.0.1", 0))
+    server = context.run(asyncio.start_server(close_connection, "127.0.0.1", 0))
     context.stack.callback(server.close)
     context.url = f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
--- a/lycheepost/targets/events.py
+++ b/lycheepost/targets/events.py
@@ -44,14 +44,14 @@
         """
         pending = self._partial_event + data
         end = max(_end_after_last(pending, mark) for mark in _EVENT_ENDS)
-        whole, self._partial_event = pending[:end], pending[end:]
+        complete, self._partial_event = pending[:end], pending[end:]
         if len(self._partial_event) > MAX_EVENT_BYTES:
             raise TargetLost("an event of the stream does not end")
-        ids = _ID_LINE.findall(whole)
+        ids = _ID_LINE.findall(complete)
         if ids:
             self.last_id = int(ids[-1])
             self.first_id = int(ids[0]) if self.first_id is None else self.first_id
-        return whole
+        return complete
 
     def flush(self) -> bytes:
         """Return the remaining bytes, after a regular end of the stream."""
