--- a/lycheepost/callers/forwarddeps.py
+++ b/lycheepost/callers/forwarddeps.py
@@ -18,7 +18,7 @@
 from lycheepost.decide.kvstorecontents import KvStoreContents
 from lycheepost.decide.targethealth import Ending
 from lycheepost.targets.forward import ForwardClient
-from lycheepost.targets.forwardcall import AnswerHead
+from lycheepost.targets.forwardcall import ResponseHead
 from lycheepost.utils.metrics import Metrics
 
 
@@ -59,7 +59,7 @@
 class CallerConnection(Protocol):
     """The connection to the caller; it takes one response."""
 
-    async def begin(self, head: AnswerHead, length: int | None) -> None:
+    async def begin(self, head: ResponseHead, length: int | None) -> None:
         """Send the headers; ``length`` is the size of the body, None if unknown.
 
         Raises:
@@ -149,5 +149,5 @@
     is_same_incarnation: Callable[[ListedTarget], Awaitable[bool]]
     make_request_id: Callable[[], RequestId]
     draw_split_point: Callable[[], float]
-    on_answer_headers: Callable[[ListedTarget, AnswerHead, float], None]
+    on_answer_headers: Callable[[ListedTarget, ResponseHead, float], None]
     is_backed_off: Callable[[TargetId], bool]
--- a/lycheepost/callers/forwarding.py
+++ b/lycheepost/callers/forwarding.py
@@ -49,7 +49,7 @@
 from lycheepost.decide.silence import first_byte_timeout_seconds, idle_timeout_seconds
 from lycheepost.decide.targethealth import Ending
 from lycheepost.targets.errors import TargetError, TargetUnreachable
-from lycheepost.targets.forward import ForwardAnswer
+from lycheepost.targets.forward import ForwardResponse
 
 NOT_RUN_RETRY_SECONDS = 0.2
 """By then a target that was busy or changing usually has capacity again."""
@@ -339,7 +339,7 @@
     async def _handle_answer(
         self,
         listed: ListedTarget,
-        answer: ForwardAnswer,
+        answer: ForwardResponse,
         wait_seconds: float,
         sent_seconds: float,
     ) -> tuple[AttemptEnd | None, str]:
@@ -372,10 +372,10 @@
             self._deps.targets.note_end(target, ending)
         return result.end, result.value
 
-    async def _read_rejection(self, answer: ForwardAnswer) -> None:
+    async def _read_rejection(self, answer: ForwardResponse) -> None:
         """Read a short rejection to its end, so that its connection can be reused."""
         try:
-            await answer.read_whole(_MAX_REJECTION_BYTES)
+            await answer.read_body(_MAX_REJECTION_BYTES)
         except TargetError as error:
             self._log.info("forward: rejection broke off", reason=error.reason)
         finally:
@@ -390,7 +390,7 @@
     def _note_first(self) -> None:
         self._deps.dispatcher.first_token(self._work.request)
 
-    def _note_rejection(self, target: TargetId, answer: ForwardAnswer) -> None:
+    def _note_rejection(self, target: TargetId, answer: ForwardResponse) -> None:
         """Update what is known of a target that did not run the request."""
         head = answer.head
         targets = self._deps.targets
--- a/lycheepost/platform/cacheevents.py
+++ b/lycheepost/platform/cacheevents.py
@@ -8,7 +8,7 @@
 from lycheepost.decide.promptlevels import part_digest, split_scope
 from lycheepost.generated.engine import CacheEvent, CacheEventKind
 from lycheepost.platform.sessions import make_call_session
-from lycheepost.targets.cachewatch import CacheNews
+from lycheepost.targets.cachewatch import CacheEventBatch
 from lycheepost.targets.errors import TargetError, TargetLost
 from lycheepost.utils.decoding import UNREADABLE
 
@@ -59,7 +59,7 @@
 
     async def read_events(
         self, address: str, since: int
-    ) -> Result[CacheNews, TargetError]:
+    ) -> Result[CacheEventBatch, TargetError]:
         """Return the events with a sequence number after ``since``."""
         if self._session is None:
             raise RuntimeError("the HTTP session is not open")
@@ -76,13 +76,13 @@
             return Failure(TargetLost(f"no response: {type(error).__name__}"))
 
 
-def _decode(body: bytes) -> Result[CacheNews, TargetError]:
+def _decode(body: bytes) -> Result[CacheEventBatch, TargetError]:
     try:
         wire = msgspec.json.decode(body, type=_WireEvents)
     except UNREADABLE as error:
         return Failure(TargetError(f"cache events cannot be decoded: {error}"))
     events = tuple(_to_event(event) for event in wire.events)
-    return Success(CacheNews(wire.boot_epoch, wire.next, wire.lost, events))
+    return Success(CacheEventBatch(wire.boot_epoch, wire.next, wire.lost, events))
 
 
 def _to_event(wire: _WireEvent) -> CacheEvent:
--- a/lycheepost/platform/ingress.py
+++ b/lycheepost/platform/ingress.py
@@ -20,7 +20,7 @@
 from lycheepost.platform import headers as names
 from lycheepost.platform.dialect import header_int, parse_count
 from lycheepost.state.initial_reads import InitialReads
-from lycheepost.targets.forwardcall import AnswerHead
+from lycheepost.targets.forwardcall import ResponseHead
 
 UNCONFIGURED_BYTES = 4 * 1024 * 1024
 """Largest request body while no configuration is known: the configuration's default.
@@ -63,7 +63,7 @@
         self._is_leaving = is_leaving
         self.response: web.StreamResponse | None = None
 
-    async def begin(self, head: AnswerHead, length: int | None) -> None:
+    async def begin(self, head: ResponseHead, length: int | None) -> None:
         """Send the status and the headers."""
         response = web.StreamResponse(
             status=head.status, headers=CIMultiDict(head.headers)
--- a/lycheepost/targets/forward.py
+++ b/lycheepost/targets/forward.py
@@ -1,7 +1,7 @@
-"""The client that forwards requests to targets and hands their answers on unread.
+"""The client that forwards requests to targets without parsing response bodies.
 
-One request at a time runs on a connection. A connection is used again only after
-a whole answer that was the right one, with nothing behind it.
+A connection carries one request at a time. It is reused only after a complete
+response to the right request, with no further bytes after it.
 """
 
 import asyncio
@@ -13,38 +13,38 @@
 
 from lycheepost.generated.settings import StreamSettings
 from lycheepost.targets.errors import TargetError, TargetLost, TargetUnreachable
-from lycheepost.targets.forwardcall import AnswerHead, Dialect, ForwardCall
+from lycheepost.targets.forwardcall import Dialect, ForwardCall, ResponseHead
 from lycheepost.targets.session import SessionPair
 
 _NO_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-"""aiohttp would add them; the target must get the caller's headers and no others."""
+"""Headers that aiohttp adds by default; the target must get only the caller's."""
 
 
-class AnswerBroken(TargetLost):
-    """An answer that had begun did not come to its end."""
+class ResponseTruncated(TargetLost):
+    """A response that had begun was truncated."""
 
 
-class ForwardAnswer:
-    """An answer whose head has come.
+class ForwardResponse:
+    """A response whose headers have arrived.
 
     Attributes:
-        head: The decoded head.
+        head: The decoded status and headers.
     """
 
-    def __init__(self, head: AnswerHead, response: aiohttp.ClientResponse) -> None:
+    def __init__(self, head: ResponseHead, response: aiohttp.ClientResponse) -> None:
         self.head = head
         self._response = response
-        self._is_whole = False
+        self._is_complete = False
         connection = response.connection
         protocol = None if connection is None else connection.protocol
-        # Asked for now: once the connection is lost it can no longer be told how.
+        # Read now, because a lost connection no longer says how it ended.
         self._closed = None if protocol is None else protocol.closed
 
     async def read(self) -> bytes | None:
-        """Return the next bytes of the body, or None after a whole body.
+        """Return the next bytes of the body, or None after a complete body.
 
         Raises:
-            AnswerBroken: The connection broke before the end of the body.
+            ResponseTruncated: The connection broke before the end of the body.
         """
         try:
             data = await self._response.content.readany()
@@ -53,43 +53,43 @@
             await self._check_end()
         except (aiohttp.ClientError, OSError) as error:
             self.close()
-            raise AnswerBroken("the answer broke off") from error
-        self._is_whole = True
+            raise ResponseTruncated("the answer broke off") from error
+        self._is_complete = True
         return None
 
     async def _check_end(self) -> None:
-        """Tell a body that ended from one that was cut off.
+        """Raise an error if a body without length was truncated.
 
-        A body without length ends with its connection. When the connection was
-        reset instead of closed, aiohttp reports the same end; only the state of
-        the connection tells that the rest is missing.
+        Such a body ends with its connection. If the connection was reset instead of
+        closed, aiohttp reports the same end; only the state of the connection shows
+        that the rest is missing.
         """
         if not self.head.has_length and self._closed is not None:
-            # A read that is given up must not end the future for the next one.
+            # A cancelled read must not cancel the future, which later reads need.
             await asyncio.shield(self._closed)
 
-    async def read_whole(self, most_bytes: int) -> bytes:
-        """Return the whole body.
+    async def read_body(self, max_bytes: int) -> bytes:
+        """Return the complete body.
 
         Raises:
-            AnswerBroken: It broke off or is larger than ``most_bytes``.
+            ResponseTruncated: It is truncated or larger than ``max_bytes``.
         """
         parts: list[bytes] = []
         n_bytes = 0
         while (data := await self.read()) is not None:
             n_bytes += len(data)
-            if n_bytes > most_bytes:
+            if n_bytes > max_bytes:
                 self.close()
-                raise AnswerBroken("the answer is too large")
+                raise ResponseTruncated("the answer is too large")
             parts.append(data)
         return b"".join(parts)
 
     def close(self) -> None:
-        """Break the connection unless the body was read to its end.
+        """Close the connection unless the body was read to its end.
 
-        The target sees that and stops its work.
+        The target then stops working on the request.
         """
-        if not self._is_whole:
+        if not self._is_complete:
             self._response.close()
 
 
@@ -97,8 +97,8 @@
     """Sends calls to targets.
 
     Args:
-        settings: Timeouts and the age of kept connections.
-        dialect: How calls and answers look on the wire.
+        settings: Time-outs and the maximum idle time of pooled connections.
+        dialect: Encodes calls and decodes responses.
     """
 
     def __init__(self, settings: StreamSettings, dialect: Dialect) -> None:
@@ -122,13 +122,13 @@
         """Return counts for the status page."""
         return {"n_calls": self.n_calls, "n_stale_answers": self.n_stale_answers}
 
-    async def send(self, call: ForwardCall) -> Result[ForwardAnswer, TargetError]:
-        """Send a call and wait for the head of its answer.
+    async def send(self, call: ForwardCall) -> Result[ForwardResponse, TargetError]:
+        """Send a call and wait for the response headers.
 
-        The caller of this bounds the wait by cancelling it.
+        There is no time-out; cancel the call to end the wait.
 
         Returns:
-            The answer, ``TargetUnreachable`` when no byte was sent, or
+            The response, ``TargetUnreachable`` when no byte was sent, or
             ``TargetLost`` when the call may have run.
         """
         self.n_calls += 1
@@ -140,13 +140,13 @@
             return Failure(TargetLost(f"no answer: {type(error).__name__}"))
         headers = [(name, value) for name, value in response.headers.items()]
         head = self._dialect.decode(call, response.status, headers)
-        if head.answers_other:
-            # The extra answer to an earlier request of this connection. Ours may
-            # come behind it, but what else does nobody can tell.
+        if head.answers_other_request:
+            # An extra response to an earlier request on this connection. The right
+            # one may follow, but other bytes may follow as well.
             self.n_stale_answers += 1
             response.close()
             return Failure(TargetLost("the answer belongs to another request"))
-        return Success(ForwardAnswer(head, response))
+        return Success(ForwardResponse(head, response))
 
     async def _open(self, call: ForwardCall) -> aiohttp.ClientResponse:
         session = self._sessions.choose(call.may_reuse_connection)
--- a/lycheepost/targets/stream.py
+++ b/lycheepost/targets/stream.py
@@ -1,9 +1,9 @@
 """One answer of one engine, verified while it is read.
 
-``EngineStream.read`` returns bytes that may be written to the caller as they are:
-whole events, each once, in order, of this request. A connection that breaks,
-falls silent or leaves an event out is replaced, and the same target is asked for
-the rest; a target that has restarted since cannot have it.
+``EngineStream.read`` returns bytes that may be written to the caller unchanged:
+complete events of this request, each once and in order. A connection that breaks,
+falls silent or skips an event is replaced, and the same target is asked for the
+rest. A target that has restarted since then cannot provide it.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 from lycheepost.generated.settings import StreamSettings
 from lycheepost.targets.calls import EngineCall
 from lycheepost.targets.continuation import EventRewriter
-from lycheepost.targets.direct import Diversion, divert, restore
+from lycheepost.targets.direct import BodyHandler, attach_handler, detach_handler
 from lycheepost.targets.errors import StreamCrossed, StreamLost
 from lycheepost.targets.session import read_bounded
 from lycheepost.targets.sse import (
@@ -31,15 +31,16 @@
 )
 
 _log = structlog.get_logger(part="targets")
-_MAX_WHOLE_BYTES = 16 * 1024 * 1024
+_MAX_UNSTREAMED_BYTES = 16 * 1024 * 1024
 """Largest answer that is not streamed; 4,096 tokens with log probabilities take
-less than a tenth of it."""
-_END_SECONDS = 0.25
-"""Wait for the end of the HTTP body after ``[DONE]``, to reuse the connection."""
+less than a tenth of this."""
+_BODY_END_SECONDS = 0.25
+"""Time-out for the end of the HTTP body after ``[DONE]``; with it the connection can
+be reused."""
 
 
 class StreamOwner(Protocol):
-    """What a stream needs of the client that opened it."""
+    """What a stream uses of the client that opened it."""
 
     @property
     def settings(self) -> StreamSettings:
@@ -49,15 +50,15 @@
     async def resume(
         self, call: EngineCall, last_event: int
     ) -> aiohttp.ClientResponse | None:
-        """Open the stream of a call again, after an event; None when it is gone."""
+        """Reopen the stream of a call after an event; None when that fails."""
         ...
 
     def cancel_later(self, call: EngineCall) -> None:
-        """Tell the target to stop a call, without waiting for it."""
+        """Cancel a call at its target, without waiting for the result."""
         ...
 
-    def forget(self, stream: "EngineStream") -> None:
-        """Stop counting a stream that has ended."""
+    def remove_stream(self, stream: "EngineStream") -> None:
+        """Remove a stream that has ended."""
         ...
 
 
@@ -65,9 +66,9 @@
     """An answer that is being read.
 
     Attributes:
-        call: What was asked.
-        boot_id: The incarnation of the target that answers.
-        usage: Tokens as the engine counted them; None before the end.
+        call: The call that the answer belongs to.
+        boot_id: Incarnation of the responding target.
+        usage: Tokens, as counted by the engine; None before the end.
     """
 
     def __init__(
@@ -85,17 +86,17 @@
         self._content = response.content
         self._checker = EventChecker(call.answer_id)
         self._rewriter = EventRewriter(call.continues) if call.continues else None
-        self._tries_left = client.settings.resume_tries
+        self._resumes_left = client.settings.resume_tries
         self._is_waiting = False
-        self._stop: Callable[[BaseException | None], None] | None = None
-        self._quiet_since_seconds: float | None = None
+        self._stop_pump: Callable[[BaseException | None], None] | None = None
+        self._idle_since_seconds: float | None = None
         self._n_events_seen = 0
         self._n_events_recovered = 0
-        self._is_over = False
+        self._is_finished = False
 
     @property
     def n_events(self) -> int:
-        """Return how many events the caller has, over all targets."""
+        """Return the number of events delivered to the caller, over all targets."""
         if self._rewriter is not None:
             return self._rewriter.n_events
         return self._checker.n_events
@@ -104,13 +105,13 @@
         """Return the next verified bytes; None when the answer is complete.
 
         Raises:
-            StreamLost: The rest cannot be had from this target.
+            StreamLost: This target cannot provide the rest.
             StreamCrossed: The target sent another request's answer.
         """
-        if self._is_over:
+        if self._is_finished:
             return None
         if not self.call.expects_stream:
-            return await self._read_whole()
+            return await self._read_unstreamed()
         while not self._checker.is_done:
             ready = await self._read_events()
             if ready:
@@ -119,22 +120,22 @@
         return None
 
     async def cancel(self) -> None:
-        """Stop reading and let the engine stop generating."""
-        if not self._is_over:
+        """Stop reading and cancel the call at the engine."""
+        if not self._is_finished:
             self._close()
             self._client.cancel_later(self.call)
 
     async def pump(self, write: Callable[[bytes], bool]) -> bool:
-        """Hand verified bytes to ``write`` in the read callback itself.
+        """Pass verified bytes to ``write`` within the read callback.
 
         Args:
-            write: Must not block; returns False to be left alone for now.
+            write: Must not block; returns False to pause.
 
         Returns:
-            True when the answer is complete, False when ``write`` said stop.
+            True when the answer is complete, False when ``write`` returned False.
 
         Raises:
-            StreamLost: The rest cannot be had from this target.
+            StreamLost: This target cannot provide the rest.
             StreamCrossed: The target sent another request's answer.
         """
         if not self.call.expects_stream:
@@ -143,55 +144,61 @@
                     return False
             return True
         while not self._checker.is_done:
-            if not await self._pump_connection(write):
+            if not await self._pump_from_connection(write):
                 return False
-        if not self._is_over:
+        if not self._is_finished:
             await self._end()
         return True
 
-    async def _pump_connection(self, write: Callable[[bytes], bool]) -> bool:
-        """Pump until the connection needs attention; False on a stop."""
+    async def _pump_from_connection(self, write: Callable[[bytes], bool]) -> bool:
+        """Pump until the connection ends or must be replaced.
+
+        Returns:
+            False when ``write`` returned False.
+        """
         content = self._content
         ended: asyncio.Future[BaseException | None]
         ended = asyncio.get_running_loop().create_future()
         is_stopped = False
 
         def stop(error: BaseException | None) -> None:
-            restore(content)
+            detach_handler(content)
             if not ended.done():
                 ended.set_result(error)
 
-        def take(data: bytes) -> None:
+        def handle_data(data: bytes) -> None:
             nonlocal is_stopped
             ready = checker.feed(data)
             if ready and not write(ready if rewrite is None else rewrite(ready)):
                 is_stopped = True
-                self._pause()
+                self._pause_reading()
                 stop(None)
             elif checker.fault is not None or checker.is_done:
                 stop(checker.fault)
 
         checker = self._checker
         rewrite = self._rewriter.rewrite if self._rewriter else None
-        # Only an empty reader can be diverted without a change of order, so
-        # what it holds is taken out first.
+        # A handler can be attached to an empty reader only, or bytes would be
+        # reordered. So buffered bytes are read first.
         if checker.fault is not None:
             await self._recover(checker.fault)
             return True
         if content.exception() is None and (held := content.read_nowait()):
             ready = self._check(held)
             return not ready or write(ready)
-        if content.is_eof() or not divert(content, Diversion(take, stop)):
+        if content.is_eof() or not attach_handler(
+            content, BodyHandler(handle_data, stop)
+        ):
             ready = await self._read_events()
             return not ready or write(ready)
         self._is_waiting = True
-        self._stop = stop
+        self._stop_pump = stop
         try:
             error = await ended
         finally:
             self._is_waiting = False
-            self._stop = None
-            restore(content)
+            self._stop_pump = None
+            detach_handler(content)
         if is_stopped:
             return False
         if not checker.is_done:
@@ -199,42 +206,42 @@
         return True
 
     def check_silence(self, now_seconds: float) -> None:
-        """Break a connection over which no event came for too long.
+        """Abort the connection if no event has arrived for too long.
 
-        Only time spent waiting for the target counts; a caller who reads slowly
-        holds the stream up without any fault of the target's.
+        Only time spent waiting for the target counts, because a caller that reads
+        slowly delays the stream as well.
         """
         n_events = self._checker.n_events
-        is_quiet = self._is_waiting and n_events == self._n_events_seen
+        is_idle = self._is_waiting and n_events == self._n_events_seen
         self._n_events_seen = n_events
-        if not is_quiet:
-            self._quiet_since_seconds = None
+        if not is_idle:
+            self._idle_since_seconds = None
             return
-        if self._quiet_since_seconds is None:
-            self._quiet_since_seconds = now_seconds
+        if self._idle_since_seconds is None:
+            self._idle_since_seconds = now_seconds
             return
         settings = self._client.settings
         bound = settings.silence_seconds if n_events else settings.first_byte_seconds
-        if now_seconds - self._quiet_since_seconds > bound:
-            self._quiet_since_seconds = None
+        if now_seconds - self._idle_since_seconds > bound:
+            self._idle_since_seconds = None
             silence = TimeoutError("silent")
             self._content.set_exception(silence)
-            if self._stop is not None:
-                self._stop(silence)
+            if self._stop_pump is not None:
+                self._stop_pump(silence)
 
     def resume_reading(self) -> None:
-        """Take from the target again after ``pump`` was stopped."""
+        """Resume reading from the target after ``pump`` returned False."""
         connection = self._response.connection
         if connection is not None and connection.protocol is not None:
             connection.protocol.resume_reading()
 
-    def _pause(self) -> None:
+    def _pause_reading(self) -> None:
         connection = self._response.connection
         if connection is not None and connection.protocol is not None:
             connection.protocol.pause_reading()
 
     async def _read_events(self) -> bytes:
-        """Return verified events; nothing when the connection was replaced."""
+        """Return verified events; empty when the connection was replaced."""
         if self._checker.fault is not None:
             await self._recover(self._checker.fault)
         try:
@@ -258,27 +265,27 @@
         return self._rewriter.rewrite(ready) if self._rewriter else ready
 
     async def _recover(self, error: BaseException | None) -> None:
-        """Replace the connection and go on after the last whole event.
+        """Replace the connection and continue after the last complete event.
 
         Args:
-            error: What ended the connection; None for the end of the body.
+            error: Error that ended the connection; None for the end of the body.
 
         Raises:
-            StreamLost: The target cannot send the rest.
+            StreamLost: The target cannot provide the rest.
             StreamCrossed: It sent another request's events.
         """
         reason = _describe(error)
         if isinstance(error, CrossedEventError):
-            raise self._lose(reason, is_crossed=True)
+            raise self._fail(reason, is_crossed=True)
         self._response.close()
         self._checker.restart()
         if self._checker.n_events > self._n_events_recovered:
-            # Tries are counted without progress between them: a long answer
-            # over a poor way may need many in all.
-            self._tries_left = self._client.settings.resume_tries
+            # Only resumes without progress in between count against the limit: a
+            # long answer over a poor connection may need many in total.
+            self._resumes_left = self._client.settings.resume_tries
             self._n_events_recovered = self._checker.n_events
-        while self._tries_left > 0:
-            self._tries_left -= 1
+        while self._resumes_left > 0:
+            self._resumes_left -= 1
             _log.info(
                 "targets: resuming a stream",
                 request=self.call.request,
@@ -291,13 +298,13 @@
             self._response = response
             self._content = response.content
             if response.headers.get("X-Request-Id") != self.call.request:
-                raise self._lose("a resume gave another request", is_crossed=True)
+                raise self._fail("a resume gave another request", is_crossed=True)
             if response.headers.get("X-Boot-Id") != self.boot_id:
-                raise self._lose("the target has restarted")
+                raise self._fail("the target has restarted")
             return
-        raise self._lose(reason)
+        raise self._fail(reason)
 
-    def _lose(self, reason: str, is_crossed: bool = False) -> StreamLost:
+    def _fail(self, reason: str, is_crossed: bool = False) -> StreamLost:
         self._close()
         self._client.cancel_later(self.call)
         kind = StreamCrossed if is_crossed else StreamLost
@@ -309,19 +316,19 @@
         return kind(reason, self.n_events, n_tokens, text)
 
     def _close(self) -> None:
-        self._is_over = True
-        self._client.forget(self)
+        self._is_finished = True
+        self._client.remove_stream(self)
         self._response.close()
 
     async def _end(self) -> None:
-        """Note the usage and give the connection back to the pool."""
+        """Record the usage and return the connection to the pool."""
         self.usage = self._checker.usage
         if self._rewriter is not None and self.usage is not None:
             self.usage = self._rewriter.correct_usage(self.usage)
-        self._is_over = True
-        self._client.forget(self)
+        self._is_finished = True
+        self._client.remove_stream(self)
         try:
-            async with asyncio.timeout(_END_SECONDS):
+            async with asyncio.timeout(_BODY_END_SECONDS):
                 rest = await self._content.readany()
         except (aiohttp.ClientError, OSError, TimeoutError):
             rest = b"."
@@ -330,21 +337,21 @@
         else:
             self._response.release()
 
-    async def _read_whole(self) -> bytes:
+    async def _read_unstreamed(self) -> bytes:
         try:
             async with asyncio.timeout(self._client.settings.first_byte_seconds):
-                body = await read_bounded(self._response, _MAX_WHOLE_BYTES)
+                body = await read_bounded(self._response, _MAX_UNSTREAMED_BYTES)
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            raise self._lose(_describe(error)) from None
+            raise self._fail(_describe(error)) from None
         try:
             chunk: Chunk = decode_chunk(body)
         except (BrokenStreamError, msgspec.MsgspecError):
-            raise self._lose("the answer is not JSON of the expected form") from None
+            raise self._fail("the answer is not JSON of the expected form") from None
         if chunk.id != self.call.answer_id:
-            raise self._lose("the answer belongs to another request", is_crossed=True)
+            raise self._fail("the answer belongs to another request", is_crossed=True)
         self.usage = chunk.usage
-        self._is_over = True
-        self._client.forget(self)
+        self._is_finished = True
+        self._client.remove_stream(self)
         self._response.release()
         return body
 
