--- a/lycheepost/report/beliefs.py
+++ b/lycheepost/report/beliefs.py
@@ -1,7 +1,8 @@
-"""What daemons believe, read from their status pages and compared.
+"""Reads and compares the state that daemons report on their status pages.
 
-A pure pass over documents of ``/admin/status``: what two daemons believe differently
-is where a search for the cause of a failure begins.
+Pure functions over documents of ``/admin/status``. A belief is one daemon's view of
+the fleet. A difference between two daemons is where to start the search for the cause
+of a failure.
 """
 
 from collections import Counter, defaultdict
@@ -17,23 +18,24 @@
 
 @dataclass(frozen=True)
 class StatusUnreadable(LycheepostError):
-    """A status page is not what a daemon on the platform tells."""
+    """A document is not the status page of a daemon on the platform."""
 
 
 @dataclass(frozen=True, slots=True)
 class Belief:
-    """One daemon's account of itself.
+    """One daemon's view of itself and of the fleet.
 
     Attributes:
         configuration: Version in force; None before the first.
-        confirmed_age_seconds: Since it was last known to be the newest.
-        watch_age_seconds: By table of the store.
-        source: Who tells it of the store: ``store`` or a daemon.
-        n_members: Daemons by their state.
-        n_targets: Targets by their state.
-        weights: Targets by model and weights version.
+        confirmed_age_seconds: Time since the configuration was last confirmed to be
+            the newest.
+        watch_age_seconds: Time since the last successful read, by table of the store.
+        source: Where it gets changes of the store: ``store`` or a daemon's id.
+        n_members: Number of daemons in each state.
+        n_targets: Number of targets in each state.
+        weights: Number of targets for each model and weights version.
         duties: Duties that it holds.
-        switched_off: Mechanisms of the decisions that it does not use.
+        switched_off: Decision mechanisms that are disabled.
     """
 
     daemon: str
@@ -51,10 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Something that not all daemons believe alike.
+    """A subject on which the daemons' views differ.
 
     Attributes:
-        told: What is believed, and by whom.
+        told: Ids of the daemons by the value that they report.
     """
 
     subject: str
@@ -62,7 +64,7 @@
 
 
 def read_belief(document: bytes) -> Result[Belief, StatusUnreadable]:
-    """Return what a status page tells.
+    """Parse a status page.
 
     Args:
         document: JSON of ``/admin/status``.
@@ -103,73 +105,82 @@
 
 
 def find_differences(beliefs: Iterable[Belief]) -> tuple[Difference, ...]:
-    """Return what the daemons believe differently."""
-    known = tuple(beliefs)
+    """Return the subjects on which the daemons' views differ."""
+    all_beliefs = tuple(beliefs)
     subjects = {
-        "configuration": {item.daemon: str(item.configuration) for item in known},
+        "configuration": {item.daemon: str(item.configuration) for item in all_beliefs},
         "switched off": {
-            item.daemon: ", ".join(item.switched_off) or "nothing" for item in known
+            item.daemon: ", ".join(item.switched_off) or "nothing"
+            for item in all_beliefs
+        },
+        "members": {
+            item.daemon: _format_counts(item.n_members) for item in all_beliefs
+        },
+        "targets": {
+            item.daemon: _format_counts(item.n_targets) for item in all_beliefs
         },
-        "members": {item.daemon: _say(item.n_members) for item in known},
-        "targets": {item.daemon: _say(item.n_targets) for item in known},
         "weights": {
             item.daemon: "; ".join(
-                f"{model}: {_say(found)}" for model, found in item.weights.items()
+                f"{model}: {_format_counts(found)}"
+                for model, found in item.weights.items()
             )
-            for item in known
+            for item in all_beliefs
         },
     }
-    found = [_difference(subject, told) for subject, told in subjects.items()]
-    found.append(_duties_twice(known))
-    return tuple(item for item in found if item is not None)
+    differences = [
+        _find_difference(subject, reported) for subject, reported in subjects.items()
+    ]
+    differences.append(_find_duplicate_duties(all_beliefs))
+    return tuple(item for item in differences if item is not None)
 
 
-def _say(counts: Mapping[str, int]) -> str:
+def _format_counts(counts: Mapping[str, int]) -> str:
     return ", ".join(f"{n} {name}" for name, n in sorted(counts.items())) or "none"
 
 
-def _difference(subject: str, told: Mapping[str, str]) -> Difference | None:
-    by_word: dict[str, list[str]] = defaultdict(list)
-    for daemon, word in told.items():
-        by_word[word].append(daemon)
-    if len(by_word) <= 1:
+def _find_difference(subject: str, reported: Mapping[str, str]) -> Difference | None:
+    by_value: dict[str, list[str]] = defaultdict(list)
+    for daemon, value in reported.items():
+        by_value[value].append(daemon)
+    if len(by_value) <= 1:
         return None
-    return Difference(subject, {word: tuple(who) for word, who in by_word.items()})
+    return Difference(subject, {value: tuple(ids) for value, ids in by_value.items()})
 
 
-def _duties_twice(beliefs: Iterable[Belief]) -> Difference | None:
-    """Return the duties that several daemons say they hold."""
+def _find_duplicate_duties(beliefs: Iterable[Belief]) -> Difference | None:
+    """Return the duties that more than one daemon claims to hold."""
     holders: dict[str, list[str]] = defaultdict(list)
     for belief in beliefs:
         for duty in belief.duties:
             holders[duty].append(belief.daemon)
-    twice = {duty: tuple(who) for duty, who in holders.items() if len(who) > 1}
-    return Difference("duties", twice) if twice else None
+    duplicates = {duty: tuple(ids) for duty, ids in holders.items() if len(ids) > 1}
+    return Difference("duties", duplicates) if duplicates else None
 
 
 def describe(belief: Belief) -> str:
-    """Return one line on one daemon."""
+    """Return a one-line summary of one daemon's view."""
     ages = ", ".join(
-        f"{table} {_say_age(age)}" for table, age in belief.watch_age_seconds.items()
+        f"{table} {_format_age(age)}" for table, age in belief.watch_age_seconds.items()
     )
     weights = "; ".join(
-        f"{model}: {_say(found)}" for model, found in belief.weights.items()
+        f"{model}: {_format_counts(found)}" for model, found in belief.weights.items()
     )
     return (
         f"{belief.daemon}{' (leaving)' if belief.is_leaving else ''}:"
         f" configuration {belief.configuration} confirmed"
-        f" {_say_age(belief.confirmed_age_seconds)}; {ages}, told by {belief.source};"
-        f" members {_say(belief.n_members)}; targets {_say(belief.n_targets)};"
+        f" {_format_age(belief.confirmed_age_seconds)}; {ages}, told by"
+        f" {belief.source}; members {_format_counts(belief.n_members)};"
+        f" targets {_format_counts(belief.n_targets)};"
         f" weights {weights or 'none'}; holds {', '.join(belief.duties) or 'no duty'}"
-        f"{_say_switched_off(belief)}"
+        f"{_format_switched_off(belief)}"
     )
 
 
-def _say_switched_off(belief: Belief) -> str:
+def _format_switched_off(belief: Belief) -> str:
     if not belief.switched_off:
         return ""
     return f"; does without {', '.join(belief.switched_off)}"
 
 
-def _say_age(age_seconds: float | None) -> str:
+def _format_age(age_seconds: float | None) -> str:
     return "never" if age_seconds is None else f"{age_seconds:.1f} s ago"
--- a/lycheepost/report/explain.py
+++ b/lycheepost/report/explain.py
@@ -1,7 +1,7 @@
-"""Gather the log lines of one request and say why it ended as it did.
+"""Collects the log lines of one request and explains why it ended as it did.
 
-Pure passes over lines: they may come from several daemons, in any order, with or
-without something in front of the JSON, as collectors add it.
+Pure functions over lines, which may come from several daemons, in any order, and
+with a prefix of a log collector in front of the JSON.
 """
 
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 
 import msgspec
 
-_CAUSES = {
+_CAUSE_BY_CODE = {
     "not_configured": "The daemon had just started and held no configuration yet.",
     "key_unconfirmed": (
         "The daemon had not reached the store for so long that the key might have "
@@ -43,23 +43,23 @@
     """One event of a log.
 
     Attributes:
-        fields: All that the line holds.
+        fields: All fields of the line.
     """
 
     fields: dict[str, object]
 
     def text(self, name: str) -> str:
-        """Return a field as text; empty when it is missing."""
+        """Return a field as text; empty if it is missing."""
         value = self.fields.get(name)
         return "" if value is None else str(value)
 
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """What the logs tell of one request.
+    """What the logs show about one request.
 
     Attributes:
-        lines: Its lines in the order of their times.
+        lines: Its lines in order of their timestamps.
         cause: One or more sentences.
     """
 
@@ -68,7 +68,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return the event in a line of a log; None when it holds none."""
+    """Parse a line of a log; None if it holds no JSON object."""
     start = text.find("{")
     if start < 0:
         return None
@@ -80,11 +80,11 @@
 
 
 def explain(texts: Iterable[str], request_id: str) -> Explanation:
-    """Return what the lines ``texts`` tell of a request.
+    """Explain the end of a request.
 
     Args:
         texts: Lines of logs, in any order.
-        request_id: The id that its caller gave it.
+        request_id: Id of the request, as given by its caller.
     """
     parsed = (parse_line(text) for text in texts if request_id in text)
     found = [
@@ -93,21 +93,21 @@
         if line is not None and line.text("request_id") == request_id
     ]
     found.sort(key=lambda line: line.text("timestamp"))
-    return Explanation(tuple(found), _cause(found))
+    return Explanation(tuple(found), _describe_cause(found))
 
 
-def _cause(lines: list[LogLine]) -> str:
+def _describe_cause(lines: list[LogLine]) -> str:
     if not lines:
         return (
             "No line names it: it did not come to these daemons in this time, or "
             "their logs dropped lines (look for 'logs: lines dropped')."
         )
-    sends = [line for line in lines if line.text("event") == "forward: sent"]
-    parts = [_tell_send(number, line) for number, line in enumerate(sends, 1)]
-    return " ".join([*parts, _tell_end(lines, sends)])
+    attempts = [line for line in lines if line.text("event") == "forward: sent"]
+    parts = [_describe_attempt(number, line) for number, line in enumerate(attempts, 1)]
+    return " ".join([*parts, _describe_end(lines, attempts)])
 
 
-def _tell_send(number: int, line: LogLine) -> str:
+def _describe_attempt(number: int, line: LogLine) -> str:
     end = line.text("end")
     target = line.text("target")
     if end.startswith("not sent"):
@@ -116,26 +116,26 @@
     return f"Send {number} went to {target} and ended after {held} s: {end}."
 
 
-def _tell_end(lines: list[LogLine], sends: list[LogLine]) -> str:
+def _describe_end(lines: list[LogLine], attempts: list[LogLine]) -> str:
     for line in reversed(lines):
         match line.text("event"):
             case "ingress: answered with an error":
-                return _tell_error(line)
+                return _describe_error(line)
             case "relay: answer cut":
                 last = line.text("last_event") or "none"
                 return f"Its answer was cut after event {last}; no target could go on."
             case "ingress: client left":
                 return "Its caller left before the end."
             case "ingress: failed":
-                return _CAUSES["internal_error"]
-    if sends and sends[-1].text("end") == "served":
+                return _CAUSE_BY_CODE["internal_error"]
+    if attempts and attempts[-1].text("end") == "served":
         return "It was served."
     return "Its end is not in these lines."
 
 
-def _tell_error(line: LogLine) -> str:
+def _describe_error(line: LogLine) -> str:
     code = line.text("code")
-    cause = _CAUSES.get(code, f"The code is {code}.")
+    cause = _CAUSE_BY_CODE.get(code, f"The code is {code}.")
     status = line.text("status")
     executed = line.text("executed")
     return f"{cause} It was answered {status}; executed: {executed}."
