--- a/lycheepost/report/burn.py
+++ b/lycheepost/report/burn.py
@@ -1,10 +1,10 @@
-"""Service levels, error budgets and burn rates from slots of counts. Pure.
+"""Computes error budgets and burn rates from slots of counts, without I/O.
 
-A burn rate is the share of bad events over the share that the objective allows:
-at 1 the budget lasts exactly as long as its period, at 14.4 a three-day budget
-is gone in five hours. A rule fires only while both a long and a short window
-burn: the long one keeps a short spike from paging anybody, the short one lets
-the alarm end soon after the fault does.
+A burn rate is the share of bad events divided by the share that the objective
+allows: at 1 the budget lasts exactly for its period, at 14.4 a three-day budget
+is spent in five hours. A rule fires only while both its long and its short window
+exceed the threshold: the long window keeps a short spike from paging anybody, the
+short window ends the alarm soon after the fault ends.
 """
 
 import math
@@ -20,11 +20,11 @@
 HOUR_SECONDS = 3600
 DAY_SECONDS = 86400
 PERIOD_SECONDS = 3 * DAY_SECONDS
-"""The period of the error budget and the longest window that is kept."""
+"""Period of the error budget, and the longest window."""
 
 
-class Level(Enum):
-    """One service level."""
+class ServiceLevel(Enum):
+    """Service levels that have an objective."""
 
     FIRST_TOKEN = "first_token"
     BETWEEN_TOKENS = "between_tokens"
@@ -33,7 +33,7 @@
 
 
 class Alarm(Enum):
-    """What a rule asks of the person on call."""
+    """How a rule alerts the person on call."""
 
     NONE = "none"
     TICKET = "ticket"
@@ -41,8 +41,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
-    """Fires while both windows burn at ``threshold`` or faster."""
+class AlarmRule:
+    """Fires while the burn rate of both windows is at least ``threshold``."""
 
     long_seconds: int
     short_seconds: int
@@ -51,12 +51,12 @@
 
 
 RULES = (
-    # The thresholds spend 20%, 50%, 100% and 100% of the three-day budget in
-    # their long windows: 14.4 x 1 h, 6 x 6 h, 3 x 1 d, 1 x 3 d over 72 h.
-    Rule(HOUR_SECONDS, 5 * MINUTE_SECONDS, 14.4, Alarm.PAGE),
-    Rule(6 * HOUR_SECONDS, 30 * MINUTE_SECONDS, 6.0, Alarm.PAGE),
-    Rule(DAY_SECONDS, 2 * HOUR_SECONDS, 3.0, Alarm.TICKET),
-    Rule(PERIOD_SECONDS, 6 * HOUR_SECONDS, 1.0, Alarm.TICKET),
+    # A burn rate at the threshold spends 20%, 50%, 100% and 100% of the three-day
+    # budget within the long window: 14.4 x 1 h, 6 x 6 h, 3 x 1 d, 1 x 3 d of 72 h.
+    AlarmRule(HOUR_SECONDS, 5 * MINUTE_SECONDS, 14.4, Alarm.PAGE),
+    AlarmRule(6 * HOUR_SECONDS, 30 * MINUTE_SECONDS, 6.0, Alarm.PAGE),
+    AlarmRule(DAY_SECONDS, 2 * HOUR_SECONDS, 3.0, Alarm.TICKET),
+    AlarmRule(PERIOD_SECONDS, 6 * HOUR_SECONDS, 1.0, Alarm.TICKET),
 )
 
 WINDOWS_SECONDS = tuple(
@@ -66,10 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowBurn:
-    """One window of one service level.
+    """The burn of one service level over one window.
 
     Attributes:
-        burn_rate: None without any event: silence is not the same as good.
+        burn_rate: None without events, since no traffic does not mean no faults.
     """
 
     window_seconds: int
@@ -80,16 +80,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelBurn:
-    """One service level of one customer and model.
+    """The burn of one service level for one customer and model.
 
     Attributes:
         objective_share: Share of events that must be good.
-        budget_left_share: Part of the three-day error budget not yet spent,
-            negative when overspent; None without any event.
+        budget_left_share: Unspent share of the three-day error budget, negative
+            when overspent; None without events.
         windows: Shortest first.
     """
 
-    level: Level
+    level: ServiceLevel
     objective_share: float
     budget_left_share: float | None
     alarm: Alarm
@@ -98,12 +98,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PairBurn:
-    """All service levels of one customer and model.
+    """The burn of all service levels for one customer and model.
 
     Attributes:
-        ttft_p50_seconds, ttft_p99_seconds: Upper bounds of the buckets that
-            hold these points over the longest window; None without answers,
-            infinite past the last bound.
+        ttft_p50_seconds, ttft_p99_seconds: Upper bounds of the histogram buckets
+            that hold these percentiles over the longest window; None without
+            answers, infinite above the last bound.
     """
 
     customer: str
@@ -114,37 +114,37 @@
     levels: tuple[LevelBurn, ...]
 
 
-def objective_of(level: Level, objectives: BurnObjectives) -> float:
+def objective_share_of(level: ServiceLevel, objectives: BurnObjectives) -> float:
     """Return the share of events that must be good."""
     match level:
-        case Level.FIRST_TOKEN | Level.BETWEEN_TOKENS:
+        case ServiceLevel.FIRST_TOKEN | ServiceLevel.BETWEEN_TOKENS:
             return objectives.objective_share
-        case Level.SUCCESS:
+        case ServiceLevel.SUCCESS:
             return objectives.success_share
-        case Level.EXACTLY_ONCE:
+        case ServiceLevel.EXACTLY_ONCE:
             return objectives.exactly_once_share
 
 
-def events_of(level: Level, count: BurnCount) -> tuple[int, int]:
-    """Return the numbers of events and of bad events of one level."""
+def count_events(level: ServiceLevel, count: BurnCount) -> tuple[int, int]:
+    """Return the number of events and of bad events of one service level."""
     match level:
-        case Level.FIRST_TOKEN:
+        case ServiceLevel.FIRST_TOKEN:
             return count.n_first_tokens, count.n_first_tokens_late
-        case Level.BETWEEN_TOKENS:
+        case ServiceLevel.BETWEEN_TOKENS:
             return count.n_streams, count.n_streams_slow
-        case Level.SUCCESS:
+        case ServiceLevel.SUCCESS:
             return count.n_requests, count.n_failed
-        case Level.EXACTLY_ONCE:
+        case ServiceLevel.EXACTLY_ONCE:
             return count.n_once, count.n_once_broken
 
 
 def dedupe_slots(slots: Iterable[BurnSlot]) -> list[BurnSlot]:
-    """Keep each count once.
+    """Remove duplicates, so that each request is counted once.
 
-    A daemon answers with slots that it has also written to the object store,
-    and the open slot of a leaving daemon may have been written early: the
-    fullest copy is kept. Where an hour's sum is present, its slots are dropped;
-    both come together when daemons' clocks disagree about the hour.
+    A daemon answers with slots that it has also written to the object store, and
+    a leaving daemon may have written its open slot early: the copy with the most
+    requests is kept. Slots covered by an hourly sum are dropped; both are present
+    when the daemons' clocks disagree about the hour.
     """
     kept: dict[tuple[str, str, int, int], BurnSlot] = {}
     for slot in slots:
@@ -178,7 +178,7 @@
 def sum_window(
     slots: Iterable[BurnSlot], window_seconds: int, wall_seconds: float
 ) -> dict[_Pair, BurnCount]:
-    """Add up the slots that end inside the window before ``wall_seconds``."""
+    """Add up the slots that end within the window before ``wall_seconds``."""
     sums: dict[_Pair, BurnCount] = {}
     from_seconds = wall_seconds - window_seconds
     for slot in slots:
@@ -193,7 +193,7 @@
 def assess(
     slots: Iterable[BurnSlot], objectives: BurnObjectives, wall_seconds: float
 ) -> list[PairBurn]:
-    """Return the burn of every customer and model, the fastest burning first."""
+    """Return the burn of every customer and model, the most urgent first."""
     slots = dedupe_slots(slots)
     by_pair: dict[_Pair, dict[int, BurnCount]] = defaultdict(dict)
     for window_seconds in WINDOWS_SECONDS:
@@ -202,7 +202,7 @@
     pairs = [
         _assess_pair(pair, windows, objectives) for pair, windows in by_pair.items()
     ]
-    return sorted(pairs, key=_urgency, reverse=True)
+    return sorted(pairs, key=_sort_key, reverse=True)
 
 
 def _assess_pair(
@@ -213,21 +213,23 @@
         customer=pair[0],
         model=pair[1],
         n_requests=longest.n_requests,
-        ttft_p50_seconds=read_bucket(longest, 0.5),
-        ttft_p99_seconds=read_bucket(longest, 0.99),
-        levels=tuple(_assess_level(level, windows, objectives) for level in Level),
+        ttft_p50_seconds=first_token_quantile(longest, 0.5),
+        ttft_p99_seconds=first_token_quantile(longest, 0.99),
+        levels=tuple(
+            _assess_level(level, windows, objectives) for level in ServiceLevel
+        ),
     )
 
 
 def _assess_level(
-    level: Level, windows: dict[int, BurnCount], objectives: BurnObjectives
+    level: ServiceLevel, windows: dict[int, BurnCount], objectives: BurnObjectives
 ) -> LevelBurn:
-    objective_share = objective_of(level, objectives)
+    objective_share = objective_share_of(level, objectives)
     allowed_share = 1 - objective_share
     burns = {}
     for window_seconds in WINDOWS_SECONDS:
         count = windows.get(window_seconds)
-        n_events, n_bad = events_of(level, count) if count else (0, 0)
+        n_events, n_bad = count_events(level, count) if count else (0, 0)
         rate = n_bad / n_events / allowed_share if n_events else None
         burns[window_seconds] = WindowBurn(window_seconds, n_events, n_bad, rate)
     spent = burns[PERIOD_SECONDS].burn_rate
@@ -235,12 +237,12 @@
         level=level,
         objective_share=objective_share,
         budget_left_share=None if spent is None else 1 - spent,
-        alarm=_judge(burns),
+        alarm=_choose_alarm(burns),
         windows=tuple(burns.values()),
     )
 
 
-def _judge(burns: dict[int, WindowBurn]) -> Alarm:
+def _choose_alarm(burns: dict[int, WindowBurn]) -> Alarm:
     for rule in RULES:
         rates = (
             burns[rule.long_seconds].burn_rate,
@@ -254,15 +256,15 @@
 _ALARM_ORDER = {Alarm.NONE: 0, Alarm.TICKET: 1, Alarm.PAGE: 2}
 
 
-def _urgency(pair: PairBurn) -> tuple[int, float]:
+def _sort_key(pair: PairBurn) -> tuple[int, float]:
     alarm = max(_ALARM_ORDER[level.alarm] for level in pair.levels)
     spent = max(1 - (level.budget_left_share or 0.0) for level in pair.levels)
     return alarm, spent
 
 
-def read_bucket(count: BurnCount, share: float) -> float | None:
-    """Return the upper bound of the bucket that holds a point of the answers."""
-    n_wanted = sum(count.first_token_buckets) * share
+def first_token_quantile(count: BurnCount, quantile: float) -> float | None:
+    """Return the upper bound of the histogram bucket that holds a quantile."""
+    n_wanted = sum(count.first_token_buckets) * quantile
     if not n_wanted:
         return None
     n_seen = 0
--- a/lycheepost/report/page.py
+++ b/lycheepost/report/page.py
@@ -1,7 +1,7 @@
-"""The burn report as one HTML page without any outside file.
+"""Renders the burn report as one self-contained HTML page.
 
-The plots answer, in this order, what a person on call asks: who is burning, how
-fast and since when, and what the waits look like.
+The plots show, in the order in which a person on call needs them: which customers
+spend their error budgets, the burn rates over time, and the times to first token.
 """
 
 import html
@@ -22,12 +22,12 @@
 from lycheepost.report.burn import (  # noqa: E402
     HOUR_SECONDS,
     Alarm,
-    Level,
     LevelBurn,
     PairBurn,
+    ServiceLevel,
+    count_events,
     dedupe_slots,
-    events_of,
-    objective_of,
+    objective_share_of,
 )
 from lycheepost.report.gather import BurnReport  # noqa: E402
 from lycheepost.report.render import (  # noqa: E402
@@ -39,21 +39,21 @@
 )
 from lycheepost.report.samples import BUCKET_BOUNDS_SECONDS  # noqa: E402
 
-_SHOWN_PAIRS = 20
-"""Pairs in the plots, the fastest burning first; the table lists all."""
+_MAX_PLOTTED_PAIRS = 20
+"""Pairs of customer and model in the plots, most urgent first; the table has all."""
 _WIDTH_INCHES = 9.0
-_SHOWN_SECONDS = (0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
+_TICK_SECONDS = (0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
 _TITLES = {
-    Level.FIRST_TOKEN: "First token",
-    Level.BETWEEN_TOKENS: "Between tokens",
-    Level.SUCCESS: "Success",
-    Level.EXACTLY_ONCE: "Exactly once",
+    ServiceLevel.FIRST_TOKEN: "First token",
+    ServiceLevel.BETWEEN_TOKENS: "Between tokens",
+    ServiceLevel.SUCCESS: "Success",
+    ServiceLevel.EXACTLY_ONCE: "Exactly once",
 }
 _COLOURS = {
-    Level.FIRST_TOKEN: "#1f6feb",
-    Level.BETWEEN_TOKENS: "#8250df",
-    Level.SUCCESS: "#bc4c00",
-    Level.EXACTLY_ONCE: "#1a7f37",
+    ServiceLevel.FIRST_TOKEN: "#1f6feb",
+    ServiceLevel.BETWEEN_TOKENS: "#8250df",
+    ServiceLevel.SUCCESS: "#bc4c00",
+    ServiceLevel.EXACTLY_ONCE: "#1a7f37",
 }
 _STYLE = """
 body { font: 15px/1.45 sans-serif; margin: 2em auto; max-width: 70em; color: #222; }
@@ -68,7 +68,7 @@
 
 
 def render_page(report: BurnReport) -> str:
-    """Return the whole page."""
+    """Return the HTML page."""
     parts = [
         "<!doctype html><html lang=en><meta charset=utf-8>",
         "<title>Service-level burn</title>",
@@ -79,7 +79,7 @@
         "<h2>Burn over time, all customers</h2>",
         _draw(lambda figure: _plot_history(figure, report)),
         "<h2>Time to first token</h2>",
-        _draw(lambda figure: _plot_waits(figure, report)),
+        _draw(lambda figure: _plot_first_token_times(figure, report)),
         "<h2>Every customer and model</h2>",
         _render_rows(report),
         "</html>",
@@ -136,23 +136,23 @@
 def _plot_budgets(
     figure: matplotlib.figure.Figure, pairs: tuple[PairBurn, ...]
 ) -> None:
-    """Bars of what is left, one group a pair; a spent budget goes left of zero."""
-    shown = pairs[:_SHOWN_PAIRS]
+    """Plot the budget left as one group of bars per pair; overspent is negative."""
+    shown = pairs[:_MAX_PLOTTED_PAIRS]
     figure.set_size_inches(_WIDTH_INCHES, 1.2 + 0.55 * max(1, len(shown)))
     axes = figure.subplots()
-    height = 0.8 / len(Level)
-    for index, level in enumerate(Level):
+    height = 0.8 / len(ServiceLevel)
+    for index, level in enumerate(ServiceLevel):
         for row, pair in enumerate(shown):
             left = pair.levels[index].budget_left_share
             if left is None:
                 continue
-            # Far overspent bars are cut, and say so by their number.
+            # Bars are clipped at -100 %; the number shows the full value.
             width = 100 * max(left, -1.0)
-            place = row + (index - (len(Level) - 1) / 2) * height
-            axes.barh(place, width, height * 0.9, color=_COLOURS[level])
+            position = row + (index - (len(ServiceLevel) - 1) / 2) * height
+            axes.barh(position, width, height * 0.9, color=_COLOURS[level])
             if left < 0:
                 text = f" {100 * left:.0f}%"
-                axes.text(0, place, text, va="center", fontsize=7, color="#a40e26")
+                axes.text(0, position, text, va="center", fontsize=7, color="#a40e26")
         axes.barh(0, 0, color=_COLOURS[level], label=_TITLES[level])
     axes.set_yticks(
         range(len(shown)), [f"{pair.customer}\n{pair.model}" for pair in shown]
@@ -165,12 +165,12 @@
 
 
 def _plot_history(figure: matplotlib.figure.Figure, report: BurnReport) -> None:
-    """Burn rate of each level by hour; hours without events leave gaps."""
+    """Plot the hourly burn rate of each level; hours without events leave gaps."""
     figure.set_size_inches(_WIDTH_INCHES, 3.6)
     axes = figure.subplots()
     slots = dedupe_slots(report.slots)
-    for level in Level:
-        allowed_share = 1 - objective_of(level, report.objectives)
+    for level in ServiceLevel:
+        allowed_share = 1 - objective_share_of(level, report.objectives)
         times, rates = _rates_by_hour(slots, level, allowed_share)
         if times:
             axes.plot(
@@ -194,14 +194,14 @@
 
 
 def _rates_by_hour(
-    slots: list[BurnSlot], level: Level, allowed_share: float
+    slots: list[BurnSlot], level: ServiceLevel, allowed_share: float
 ) -> tuple[list[float], list[float]]:
-    """Return the burn rate of every hour; five minutes hold too few events."""
+    """Return the burn rate of every hour; five-minute slots hold too few events."""
     sums: dict[int, tuple[int, int]] = {}
     for slot in slots:
         hour = slot.start_wall_seconds // HOUR_SECONDS
         for count in slot.counts:
-            n_events, n_bad = events_of(level, count)
+            n_events, n_bad = count_events(level, count)
             before = sums.get(hour, (0, 0))
             sums[hour] = (before[0] + n_events, before[1] + n_bad)
     if not sums:
@@ -219,8 +219,10 @@
     return n_bad / n_events / allowed_share if n_events else math.nan
 
 
-def _plot_waits(figure: matplotlib.figure.Figure, report: BurnReport) -> None:
-    """Share of answers within each wait, all customers of each model."""
+def _plot_first_token_times(
+    figure: matplotlib.figure.Figure, report: BurnReport
+) -> None:
+    """Plot the cumulative share of first tokens by time, per model."""
     figure.set_size_inches(_WIDTH_INCHES, 3.6)
     axes = figure.subplots()
     sums: dict[str, np.ndarray] = {}
@@ -236,7 +238,7 @@
     axes.axvline(objective.ttft_objective_seconds, color="#222", linestyle="--")
     axes.axhline(100 * objective.objective_share, color="#222", linestyle=":")
     axes.set_xscale("log")
-    axes.set_xticks(_SHOWN_SECONDS, [f"{bound:g}" for bound in _SHOWN_SECONDS])
+    axes.set_xticks(_TICK_SECONDS, [f"{bound:g}" for bound in _TICK_SECONDS])
     axes.minorticks_off()
     axes.set_ylim(0, 102)
     axes.set_xlabel("seconds (dashed: objective)")
