--- a/lycheepost/report/__init__.py
+++ b/lycheepost/report/__init__.py
@@ -1,1 +1,1 @@
-"""The report on service-level burn."""
+"""Reports on service levels, on the state of daemons and on single requests."""
--- a/lycheepost/report/gather.py
+++ b/lycheepost/report/gather.py
@@ -1,8 +1,8 @@
-"""Ask every daemon for its counts, and one of them for the kept history.
+"""Collects the counts of every daemon, and the stored history from one of them.
 
-A daemon that is known and does not answer is named as missing. Its counts up to
-its last written slot may still come from the history; what it has seen since is
-unknown, and unknown is never shown as good.
+A known daemon that does not answer is listed as missing. Its counts up to its last
+written slot may still come from the history. Its later counts are unknown, and the
+report never shows unknown counts as good.
 """
 
 import asyncio
@@ -20,17 +20,17 @@
 from lycheepost.report.burn import PairBurn, assess
 from lycheepost.report.routes import BURN_PATH, HISTORY_PATH
 
-_ASKED_AT_ONCE = 32
-_ANSWER_SECONDS = 10.0
-_HISTORY_SECONDS = 60.0
+_MAX_CONCURRENT_REQUESTS = 32
+_COUNTS_TIMEOUT_SECONDS = 10.0
+_HISTORY_TIMEOUT_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True)
-class Missing:
+class MissingDaemon:
     """A daemon whose recent counts are unknown.
 
     Attributes:
-        name: Its id where a peer named it, else its address.
+        name: Its id if a peer named it, otherwise its address.
     """
 
     name: str
@@ -39,19 +39,20 @@
 
 @dataclass(frozen=True, slots=True)
 class BurnReport:
-    """The burn of the whole system, as far as it could be seen.
+    """The burn of the whole system, as far as counts were available.
 
     Attributes:
         answered: Ids of the daemons that answered.
-        history_gaps: What of the kept history could not be read, in words;
-            empty when all was read.
-        disagreeing: Ids of daemons whose objectives differ from the first's.
+        history_gaps: Description of the part of the history that could not be
+            read; empty if everything was read.
+        disagreeing: Ids of daemons whose objectives differ from those of the
+            first daemon.
     """
 
     wall_seconds: float
     objectives: BurnObjectives
     answered: tuple[str, ...]
-    missing: tuple[Missing, ...]
+    missing: tuple[MissingDaemon, ...]
     disagreeing: tuple[str, ...]
     history_gaps: str
     n_slots_lost: int
@@ -60,13 +61,13 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether nothing that was expected is missing."""
+        """Whether all expected counts are present."""
         return not (self.missing or self.history_gaps or self.n_slots_lost)
 
 
 @dataclass(frozen=True, slots=True)
-class _Asked:
-    """One address and what came back."""
+class _FetchResult:
+    """The answer of one address, or why there is none."""
 
     address: str
     answer: BurnAnswer | None
@@ -76,7 +77,7 @@
 async def gather_burn(
     addresses: tuple[str, ...], operator_key: str
 ) -> BurnReport | None:
-    """Return the report; None when no daemon answered.
+    """Return the report; None if no daemon answered.
 
     Args:
         addresses: Base URLs of the operators' listeners.
@@ -84,30 +85,30 @@
     """
     headers = {"Authorization": f"Bearer {operator_key}"}
     async with aiohttp.ClientSession(headers=headers) as session:
-        limit = asyncio.Semaphore(_ASKED_AT_ONCE)
+        limit = asyncio.Semaphore(_MAX_CONCURRENT_REQUESTS)
 
-        async def ask(address: str) -> _Asked:
+        async def fetch(address: str) -> _FetchResult:
             async with limit:
-                return await _ask(session, address)
+                return await _fetch_counts(session, address)
 
-        asked = await asyncio.gather(*(ask(address) for address in addresses))
+        asked = await asyncio.gather(*(fetch(address) for address in addresses))
         reached = [item for item in asked if item.answer is not None]
         if not reached:
             return None
-        history, gaps = await _ask_history(session, reached)
+        history, gaps = await _fetch_history(session, reached)
     return _make_report(list(asked), history, gaps)
 
 
-async def _ask(session: aiohttp.ClientSession, address: str) -> _Asked:
+async def _fetch_counts(session: aiohttp.ClientSession, address: str) -> _FetchResult:
     try:
-        data = await _get(session, f"{address}{BURN_PATH}", _ANSWER_SECONDS)
-        return _Asked(address, msgspec.json.decode(data, type=BurnAnswer), "")
+        data = await _get(session, f"{address}{BURN_PATH}", _COUNTS_TIMEOUT_SECONDS)
+        return _FetchResult(address, msgspec.json.decode(data, type=BurnAnswer), "")
     except aiohttp.ClientResponseError as error:
-        return _Asked(address, None, f"answered {error.status}")
+        return _FetchResult(address, None, f"answered {error.status}")
     except (aiohttp.ClientError, OSError, TimeoutError) as error:
-        return _Asked(address, None, type(error).__name__)
+        return _FetchResult(address, None, type(error).__name__)
     except msgspec.MsgspecError:
-        return _Asked(address, None, "answered something else")
+        return _FetchResult(address, None, "answered something else")
 
 
 async def _get(session: aiohttp.ClientSession, url: str, seconds: float) -> bytes:
@@ -117,13 +118,13 @@
         return await response.read()
 
 
-async def _ask_history(
-    session: aiohttp.ClientSession, reached: list[_Asked]
+async def _fetch_history(
+    session: aiohttp.ClientSession, reached: list[_FetchResult]
 ) -> tuple[list[BurnSlot], str]:
     for item in reached:
         try:
             url = f"{item.address}{HISTORY_PATH}"
-            data = await _get(session, url, _HISTORY_SECONDS)
+            data = await _get(session, url, _HISTORY_TIMEOUT_SECONDS)
             history = msgspec.json.decode(data, type=BurnHistory)
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.MsgspecError):
             continue
@@ -133,11 +134,11 @@
 
 
 def _make_report(
-    asked: list[_Asked], history: list[BurnSlot], history_gaps: str
+    asked: list[_FetchResult], history: list[BurnSlot], history_gaps: str
 ) -> BurnReport:
     answers = [item.answer for item in asked if item.answer is not None]
     slots = [slot for answer in answers for slot in answer.slots]
-    # The newest wall clock, so that no daemon's open slot lies in the future.
+    # The latest wall clock, so that no daemon's open slot lies in the future.
     wall_seconds = max(answer.wall_seconds for answer in answers)
     objectives = answers[0].objectives
     return BurnReport(
@@ -156,15 +157,17 @@
 
 
 def _find_missing(
-    asked: list[_Asked], answers: list[BurnAnswer]
-) -> tuple[Missing, ...]:
+    asked: list[_FetchResult], answers: list[BurnAnswer]
+) -> tuple[MissingDaemon, ...]:
     answered = {answer.daemon_id for answer in answers}
     named = {member for answer in answers for member in answer.members}
     unreached = [
-        Missing(item.address, item.reason) for item in asked if item.answer is None
+        MissingDaemon(item.address, item.reason)
+        for item in asked
+        if item.answer is None
     ]
     unasked = [
-        Missing(name, "named by a peer, did not answer")
+        MissingDaemon(name, "named by a peer, did not answer")
         for name in sorted(named - answered)
     ]
     return tuple(unreached + unasked)
--- a/lycheepost/report/render.py
+++ b/lycheepost/report/render.py
@@ -1,4 +1,4 @@
-"""The burn report as a table and as JSON."""
+"""Renders the burn report as a table and as JSON."""
 
 import math
 
@@ -11,7 +11,7 @@
 
 
 def render_window(seconds: int) -> str:
-    """Return a window's length as people say it."""
+    """Return a window's length in its largest whole unit, such as 6h."""
     for unit_seconds, unit in ((86400, "d"), (3600, "h"), (60, "m")):
         if seconds % unit_seconds == 0:
             return f"{seconds // unit_seconds}{unit}"
@@ -19,7 +19,7 @@
 
 
 def render_coverage(report: BurnReport) -> list[str]:
-    """Return lines that say what the report could not see."""
+    """Return lines that list which counts the report lacks."""
     lines = [f"{len(report.answered)} daemons answered"]
     lines += [f"MISSING {item.name}: {item.reason}" for item in report.missing]
     if report.history_gaps:
@@ -33,7 +33,7 @@
 
 
 def render_table(report: BurnReport) -> str:
-    """Return the report for a terminal, what is missing first."""
+    """Return the report for a terminal, missing counts first."""
     rows: list[tuple[str, ...]] = [_HEADINGS]
     for pair in report.pairs:
         rows += [_render_level(pair, level) for level in pair.levels]
@@ -63,17 +63,17 @@
 
 
 def render_rate(rate: float | None) -> str:
-    """Return a burn rate; a dash where nothing happened."""
+    """Return a burn rate as text; a dash without events."""
     return "-" if rate is None else f"{rate:.2f}"
 
 
 def render_share(share: float | None) -> str:
-    """Return a share of the budget; a dash where nothing happened."""
+    """Return a share of the budget as text; a dash without events."""
     return "-" if share is None else f"{share:.0%}"
 
 
 def render_seconds(seconds: float | None) -> str:
-    """Return a bucket's bound in words."""
+    """Return the bound of a histogram bucket as text."""
     if seconds is None:
         return "-"
     return "over 30 s" if math.isinf(seconds) else f"{seconds:g} s"
@@ -86,7 +86,7 @@
     document["is_complete"] = report.is_complete
     for pair in document["pairs"]:
         for name in ("ttft_p50_seconds", "ttft_p99_seconds"):
-            # JSON has no infinity; past the last bound nothing more is known.
+            # JSON has no infinity: a time above the last bound becomes null.
             if pair[name] is not None and math.isinf(pair[name]):
                 pair[name] = None
     return msgspec.json.encode(document)
