--- a/features/report/steps/gather_steps.py
+++ b/features/report/steps/gather_steps.py
@@ -6,12 +6,12 @@
 from aiohttp import web
 from behave import given, then, when
 from burn_steps import NOW, OBJECTIVES, make_sample
-from history_steps import MemoryObjects
+from history_steps import InMemoryObjects
 
 from lycheepost.core.clock import FakeClock
 from lycheepost.core.ids import DaemonId
 from lycheepost.report.gather import gather_burn
-from lycheepost.report.history import HistoryKeeper
+from lycheepost.report.history import HistoryManager
 from lycheepost.report.page import render_page
 from lycheepost.report.render import render_table
 from lycheepost.report.routes import make_report_routes
@@ -27,9 +27,9 @@
     for _ in range(30):
         recorder.record(make_sample(CUSTOMER), NOW)
     clock = FakeClock(float(NOW + 1))
-    keeper = HistoryKeeper(recorder, objects, clock, lambda: NAMES)
+    manager = HistoryManager(recorder, objects, clock, lambda: NAMES)
     routes = make_report_routes(
-        recorder, keeper, clock, lambda: NAMES, lambda header: header == key
+        recorder, manager, clock, lambda: NAMES, lambda header: header == key
     )
     app = web.Application()
     app.add_routes(routes)
@@ -59,7 +59,7 @@
 
 
 async def gather_from(context, key):
-    objects = MemoryObjects()
+    objects = InMemoryObjects()
     objects.is_down = context.fault == "cannot read the history"
     second_key = "Bearer x" if context.fault.startswith("knows another") else KEY
     second = make_daemon_app("d-2", objects, second_key)
--- a/features/report/steps/history_steps.py
+++ b/features/report/steps/history_steps.py
@@ -10,11 +10,11 @@
 from lycheepost.core.ids import DaemonId
 from lycheepost.ports.objects import ObjectError, ObjectMissing
 from lycheepost.report.burn import dedupe_slots
-from lycheepost.report.history import HistoryKeeper, fine_from_seconds
+from lycheepost.report.history import HistoryManager, fine_grained_since_seconds
 from lycheepost.report.samples import make_recorder
 
 
-class MemoryObjects:
+class InMemoryObjects:
     """An object store that can be away."""
 
     def __init__(self):
@@ -49,7 +49,7 @@
     def __init__(self, clock, objects, boot):
         self.clock = clock
         self.recorder = make_recorder(DaemonId("d-1"), boot, OBJECTIVES)
-        self.keeper = HistoryKeeper(self.recorder, objects, clock, lambda: ("d-1",))
+        self.manager = HistoryManager(self.recorder, objects, clock, lambda: ("d-1",))
 
     async def pass_minutes(self, minutes, on_minute):
         for minute in range(minutes):
@@ -57,10 +57,12 @@
             for _ in range(60):
                 self.recorder.record(make_sample(), self.clock.wall_seconds())
                 self.clock.advance(1)
-            await self.keeper.look()
+            await self.manager.write_due()
 
     def slots(self, history):
-        kept = self.recorder.slots(fine_from_seconds(self.clock.wall_seconds()))
+        kept = self.recorder.slots(
+            fine_grained_since_seconds(self.clock.wall_seconds())
+        )
         return dedupe_slots([*kept, *history.slots])
 
 
@@ -71,7 +73,7 @@
 @given("a daemon that counts one request a second")
 def given_daemon(context):
     context.clock = FakeClock(float(NOW // 3600 * 3600))
-    context.objects = MemoryObjects()
+    context.objects = InMemoryObjects()
     context.daemon = CountingDaemon(context.clock, context.objects, "boot1")
     context.outage = range(0)
 
@@ -96,12 +98,12 @@
 
 @when("it is stopped gracefully and replaced")
 def when_stopped(context):
-    asyncio.run(context.daemon.keeper.stop())
+    asyncio.run(context.daemon.manager.stop())
     context.daemon = CountingDaemon(context.clock, context.objects, "boot2")
 
 
 def read(context):
-    return asyncio.run(context.daemon.keeper.read())
+    return asyncio.run(context.daemon.manager.read())
 
 
 @then("the history and the daemon together show from {least:d} to {most:d} requests")
@@ -127,7 +129,7 @@
     slots = read(context).slots
     assert [slot.length_seconds for slot in slots].count(3600) == 6, slots
     first_fine = min(s.start_wall_seconds for s in slots if s.length_seconds == 300)
-    assert first_fine == fine_from_seconds(context.clock.wall_seconds())
+    assert first_fine == fine_grained_since_seconds(context.clock.wall_seconds())
 
 
 @when("one object is replaced by {damage}")
--- a/lycheepost/app/daemon.py
+++ b/lycheepost/app/daemon.py
@@ -35,7 +35,7 @@
 from lycheepost.operators.routes import make_operator_routes
 from lycheepost.peers.shared import Ports, SharedState, make_shared_state
 from lycheepost.peers.sockets import PeerKeys, SocketTransport, make_socket_transport
-from lycheepost.report.history import HistoryKeeper
+from lycheepost.report.history import HistoryManager
 from lycheepost.report.routes import make_report_routes
 from lycheepost.report.samples import Recorder
 from lycheepost.state.addresses import Member
@@ -152,7 +152,7 @@
     )
     me = state.members.me()
     recorder = Recorder(me.daemon, me.boot, settings.objectives)
-    history = HistoryKeeper(
+    history = HistoryManager(
         recorder, platform.objects, clock, lambda: _member_names(state)
     )
 
@@ -224,7 +224,7 @@
 
 
 def make_status(
-    settings: Settings, state: SharedState, traffic: Traffic, history: HistoryKeeper
+    settings: Settings, state: SharedState, traffic: Traffic, history: HistoryManager
 ) -> dict[str, Any]:
     """Return the response of ``/admin/status``, which holds no customer data."""
     members = state.members.status()
@@ -253,7 +253,7 @@
     platform: Platform,
     state: SharedState,
     recorder: Recorder,
-    history: HistoryKeeper,
+    history: HistoryManager,
     clock: Clock,
     fleet_quotas: FleetQuotas,
 ) -> list[web.RouteDef]:
--- a/lycheepost/report/history.py
+++ b/lycheepost/report/history.py
@@ -1,13 +1,14 @@
-"""Keep the counts of closed slots as small objects, and read them again.
+"""Writes the counts of closed slots to the object store and reads them back.
 
-A daemon has no disk and may be replaced at any time; its counts must not go
-with it. Each closed slot becomes one object, never rewritten:
+A daemon has no disk and may be replaced at any time, so its counts must not be kept
+in memory only. Each closed slot becomes one object that is never rewritten:
 
     burn/slots/HOUR/DAEMON.BOOT.START      five minutes of one daemon
     burn/hours/HOUR/DAEMON.BOOT            the sum of one hour of one daemon
 
-Five-minute objects serve the windows up to six hours, hour objects the longer
-ones. An hour whose daemon did not live to sum it up is read from its slots.
+Windows of up to six hours are computed from five-minute objects, longer windows
+from hourly objects. If a daemon stopped before it wrote the sum of an hour, that
+hour is read from its five-minute objects.
 """
 
 import asyncio
@@ -25,37 +26,37 @@
 from lycheepost.ports.objects import ObjectPort
 from lycheepost.report.samples import HOUR_SECONDS, Recorder, sum_slots
 
-SAVE_SECONDS = 20.0
-"""Time between looks for slots to write; twenty seconds late is early enough."""
-_FINE_HOURS = 7
-"""Hours read slot by slot: the longest short window and the open hour."""
-_KEPT_HOURS = 73
-"""Three days, the longest window of the report, and the open hour."""
-_READS_AT_ONCE = 16
+SAVE_INTERVAL_SECONDS = 20.0
+"""Interval between checks for closed slots; writing one 20 s late is soon enough."""
+_FINE_GRAINED_HOURS = 7
+"""Hours read slot by slot: the longest short window and the current hour."""
+_RETENTION_HOURS = 73
+"""Three days, the longest window of the report, and the current hour."""
+_MAX_CONCURRENT_READS = 16
 _SLOTS_PREFIX = "burn/slots"
 _HOURS_PREFIX = "burn/hours"
-_MOST_SLOT_BYTES = 16_000_000
-"""No honest slot is larger; a damaged object must not fill the memory."""
+_MAX_SLOT_BYTES = 16_000_000
+"""Larger than any valid slot; bounds the memory that a damaged object can take."""
 
 _log = structlog.get_logger(part="report")
 
 
-def fine_from_seconds(wall_seconds: float) -> float:
-    """Return the wall time from which counts are read slot by slot."""
+def fine_grained_since_seconds(wall_seconds: float) -> float:
+    """Return the wall time from which on counts are read slot by slot."""
     now_hour = int(wall_seconds) // HOUR_SECONDS
-    return float((now_hour - _FINE_HOURS + 1) * HOUR_SECONDS)
+    return float((now_hour - _FINE_GRAINED_HOURS + 1) * HOUR_SECONDS)
 
 
 def pack_slot(slot: BurnSlot) -> bytes:
-    """Return the object of one slot."""
+    """Encode a slot as an object."""
     return zlib.compress(msgspec.msgpack.encode(slot))
 
 
 def unpack_slot(data: bytes) -> BurnSlot | None:
-    """Return the slot of an object; None for a damaged one."""
+    """Decode the slot of an object; None if the object is damaged."""
     try:
         unpacker = zlib.decompressobj()
-        text = unpacker.decompress(data, _MOST_SLOT_BYTES)
+        text = unpacker.decompress(data, _MAX_SLOT_BYTES)
         if not unpacker.eof:
             return None
         return msgspec.msgpack.decode(text, type=BurnSlot)
@@ -73,25 +74,25 @@
 
 
 def hour_name(slot: BurnSlot) -> str:
-    """Return the object name of an hour's sum."""
+    """Return the object name of an hourly sum."""
     hour = slot.start_wall_seconds // HOUR_SECONDS
     return f"{_HOURS_PREFIX}/{hour}/{slot.daemon_id}.{slot.boot_id}"
 
 
 @dataclass(frozen=True, slots=True)
-class _Found:
-    """Objects of one hour."""
+class _HourObjects:
+    """Names of the objects of one hour, and the number of failed listings."""
 
     slot_names: tuple[str, ...]
     hour_names: tuple[str, ...]
     n_failed: int
 
 
-class HistoryKeeper:
-    """The part of a daemon that writes its counts and reads the fleet's.
+class HistoryManager:
+    """Writes the counts of one daemon and reads those of the fleet.
 
     Args:
-        members: Ids of the daemons that live; one of them sweeps old objects.
+        members: Ids of the live daemons; one of them deletes expired objects.
     """
 
     def __init__(
@@ -110,14 +111,14 @@
         self._n_failed_writes = 0
 
     async def start(self) -> None:
-        """Begin to write closed slots."""
+        """Start the task that writes closed slots."""
         self._task = asyncio.create_task(self._run())
 
     async def drain(self) -> None:
-        """Nothing is taken here that could be refused."""
+        """Do nothing: this component accepts no requests."""
 
     async def stop(self) -> None:
-        """Write what is left, also the open slot, and end."""
+        """Write all unsaved slots, including the open one, and stop."""
         if self._task is not None:
             self._task.cancel()
         await self.save()
@@ -131,24 +132,24 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(SAVE_SECONDS)
-            await self.look()
+            await asyncio.sleep(SAVE_INTERVAL_SECONDS)
+            await self.write_due()
 
-    async def look(self) -> None:
-        """Write what has closed; once an hour sum it up and sweep."""
+    async def write_due(self) -> None:
+        """Write closed slots; once an hour write its sum and delete expired objects."""
         wall_seconds = self._clock.wall_seconds()
         self._recorder.close(wall_seconds)
         await self.save()
         hour = int(wall_seconds) // HOUR_SECONDS
         if hour > self._hour:
             await self._sum_hour(self._hour)
-            await self._sweep(hour)
+            await self._delete_expired(hour)
             self._hour = hour
 
     async def save(self) -> None:
         """Write the closed slots that are not yet in the object store."""
         for slot in self._recorder.unsaved():
-            # While the store is down the slots wait in memory, oldest first.
+            # While the store is down the slots stay in memory, oldest first.
             if not await self._put(slot_name(slot), slot):
                 return
             self._recorder.mark_saved(slot.start_wall_seconds)
@@ -168,38 +169,41 @@
             for slot in self._recorder.slots()
             if slot.start_wall_seconds // HOUR_SECONDS == hour
         ]
-        # The sum replaces the slots for long windows, so it must hold all of
-        # them: an hour that was partly dropped from memory is left to its slots.
+        # The sum replaces the slots in long windows, so it must include all of
+        # them. An hour that was partly dropped from memory gets no sum and is read
+        # from its slots.
         if self._recorder.dropped_until_seconds > hour * HOUR_SECONDS:
             return
         total = sum_slots(slots, hour)
         if total is not None:
             await self._put(hour_name(total), total)
 
-    async def _sweep(self, hour: int) -> None:
-        """Delete what is older than any window; one daemon does it for all."""
+    async def _delete_expired(self, hour: int) -> None:
+        """Delete objects older than any window, on one daemon of the fleet only."""
         members = self._members()
         order = rendezvous_order(hash_bytes(str(hour).encode()), members)
         if not order or order[0] != self._recorder.daemon_id:
             return
-        found = await self._find(hour - _KEPT_HOURS - 1)
+        found = await self._list_hour(hour - _RETENTION_HOURS - 1)
         for name in found.slot_names + found.hour_names:
             await self._objects.delete(name)
 
     async def read(self) -> BurnHistory:
-        """Return the kept counts of all daemons over the longest window."""
+        """Return the stored counts of all daemons over the longest window."""
         now_hour = int(self._clock.wall_seconds()) // HOUR_SECONDS
         names: list[str] = []
         n_unread = 0
-        for hour in range(now_hour - _KEPT_HOURS, now_hour + 1):
-            found = await self._find(hour)
+        for hour in range(now_hour - _RETENTION_HOURS, now_hour + 1):
+            found = await self._list_hour(hour)
             n_unread += found.n_failed
-            names += _choose_names(found, is_fine=now_hour - hour < _FINE_HOURS)
+            names += _choose_names(
+                found, is_fine_grained=now_hour - hour < _FINE_GRAINED_HOURS
+            )
         slots = await self._read_all(names)
         n_unread += len(names) - len(slots)
         return BurnHistory(slots=slots, n_unread=n_unread)
 
-    async def _find(self, hour: int) -> _Found:
+    async def _list_hour(self, hour: int) -> _HourObjects:
         n_failed = 0
         found = []
         for prefix in (_SLOTS_PREFIX, _HOURS_PREFIX):
@@ -209,10 +213,10 @@
                 case _:
                     n_failed += 1
                     found.append(())
-        return _Found(found[0], found[1], n_failed)
+        return _HourObjects(found[0], found[1], n_failed)
 
     async def _read_all(self, names: list[str]) -> list[BurnSlot]:
-        limit = asyncio.Semaphore(_READS_AT_ONCE)
+        limit = asyncio.Semaphore(_MAX_CONCURRENT_READS)
 
         async def read_one(name: str) -> BurnSlot | None:
             async with limit:
@@ -226,14 +230,14 @@
         return [slot for slot in read if slot is not None]
 
 
-def _choose_names(found: _Found, is_fine: bool) -> tuple[str, ...]:
-    """Return each count of an hour once: by slots, or by the hour's sum."""
-    if is_fine:
+def _choose_names(found: _HourObjects, is_fine_grained: bool) -> tuple[str, ...]:
+    """Choose the objects of an hour so that each request is counted once."""
+    if is_fine_grained:
         return found.slot_names
     summed = {name.rsplit("/", 1)[1] for name in found.hour_names}
-    alone = tuple(
+    unsummed = tuple(
         name
         for name in found.slot_names
         if name.rsplit("/", 1)[1].rsplit(".", 1)[0] not in summed
     )
-    return found.hour_names + alone
+    return found.hour_names + unsummed
--- a/lycheepost/report/routes.py
+++ b/lycheepost/report/routes.py
@@ -1,6 +1,6 @@
-"""The daemon's HTTP answers behind ``lycheepost report burn``.
+"""The daemon's HTTP routes for ``lycheepost report burn``.
 
-They tell who the customers are, so only an operator's key opens them.
+Their answers name the customers, so an operator key is required.
 """
 
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from lycheepost.core.clock import Clock
 from lycheepost.generated.report import BurnAnswer, BurnObjectives
 from lycheepost.generated.settings import ObjectiveSettings
-from lycheepost.report.history import HistoryKeeper, fine_from_seconds
+from lycheepost.report.history import HistoryManager, fine_grained_since_seconds
 from lycheepost.report.samples import Recorder
 
 BURN_PATH = "/admin/burn"
@@ -19,7 +19,7 @@
 
 
 def make_objectives(settings: ObjectiveSettings) -> BurnObjectives:
-    """Return the part of the objectives that the report judges by."""
+    """Return the objectives that the report uses."""
     return BurnObjectives(
         ttft_objective_seconds=settings.ttft_objective_seconds,
         token_gap_objective_seconds=settings.token_gap_objective_seconds,
@@ -31,7 +31,7 @@
 
 def make_report_routes(
     recorder: Recorder,
-    keeper: HistoryKeeper,
+    history: HistoryManager,
     clock: Clock,
     members: Callable[[], tuple[str, ...]],
     is_operator: Callable[[str | None], bool],
@@ -39,12 +39,12 @@
     """Return the routes of the report.
 
     Args:
-        recorder: The counts of this daemon.
-        keeper: Reads the counts of all daemons that the object store holds.
-        clock: Its wall time goes with the answer.
-        members: Ids of the daemons that this one believes to live; the report
-            shows those that it cannot ask as missing.
-        is_operator: Judges an ``Authorization`` header.
+        recorder: Holds the counts of this daemon.
+        history: Reads the counts of all daemons from the object store.
+        clock: Its wall time is part of the answer.
+        members: Ids of the daemons that this one considers live; the report shows
+            those that do not answer as missing.
+        is_operator: Checks an ``Authorization`` header.
     """
 
     def check(request: web.Request) -> None:
@@ -60,14 +60,14 @@
             wall_seconds=wall_seconds,
             objectives=make_objectives(recorder.objectives),
             members=list(members()),
-            slots=recorder.slots(fine_from_seconds(wall_seconds)),
+            slots=recorder.slots(fine_grained_since_seconds(wall_seconds)),
             n_slots_lost=recorder.n_slots_lost,
         )
         return _json_response(answer)
 
     async def get_history(request: web.Request) -> web.Response:
         check(request)
-        return _json_response(await keeper.read())
+        return _json_response(await history.read())
 
     return [web.get(BURN_PATH, get_burn), web.get(HISTORY_PATH, get_history)]
 
--- a/lycheepost/report/samples.py
+++ b/lycheepost/report/samples.py
@@ -1,11 +1,11 @@
-"""Counts of what each customer saw of each model, kept in bounded memory.
+"""Counts requests by customer, model and outcome in bounded memory.
 
 The daemon calls ``Recorder.record`` once for each request that ends. Counts are
-kept in slots of five minutes of wall time, so that the slots of all daemons
-line up and add up. One slot holds one row of small integers for each customer
-and model that was seen in it: 990 customers and 8 models give at most 7,920
-rows. Closed slots are kept compressed, up to a bound, and are handed to
-``report.history``, which writes them to the object store.
+kept in slots of five minutes of wall time, aligned on all daemons so that they can
+be summed. A slot holds one row of integers for each pair of customer and model that
+had a request: at most 7,920 rows for 990 customers and 8 models. Closed slots are
+kept compressed, up to a limit of memory, and ``report.history`` writes them to the
+object store.
 """
 
 import bisect
@@ -24,7 +24,7 @@
 from lycheepost.generated.settings import ObjectiveSettings
 
 SLOT_SECONDS = 300
-"""The shortest window of the report; a replaced VM loses at most one slot."""
+"""Length of a slot and of the shortest window; a replaced VM loses at most one slot."""
 
 HOUR_SECONDS = 3600
 
@@ -32,42 +32,42 @@
     *(0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.75),
     *(1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 30.0),
 )
-"""Upper bounds of the first-token buckets; one more holds all above.
+"""Upper bounds of the first-token buckets; one more bucket holds longer times.
 
-A row is summed over daemons by adding, which a library's histogram with
-thousands of cells a row would make a hundred times as large.
+Fixed bounds let rows of several daemons be added. A library histogram has thousands
+of cells a row and would make rows a hundred times as large.
 """
 
-_MOST_ROWS = 16_384
-"""Twice the rows of 990 customers and 8 models. A slot past it counts further
-pairs under ``OTHER``, so that made-up names cannot fill the memory."""
+_MAX_ROWS = 16_384
+"""Twice the rows of 990 customers and 8 models. Further pairs of a slot are counted
+under ``OVERFLOW_NAME``, so that made-up names cannot exhaust the memory."""
 
-_KEPT_BYTES = 2_000_000
-"""Closed slots kept in memory; older ones are in the object store."""
+_MAX_CLOSED_BYTES = 2_000_000
+"""Compressed size of closed slots in memory; older ones are in the object store."""
 
-OTHER = "(other)"
+OVERFLOW_NAME = "(other)"
 
 
 class EndKind(enum.Enum):
-    """How a request ended, as its service level counts it."""
+    """How a request ended, as the service levels count it."""
 
     SUCCESS = "success"
     CALLER_FAULT = "caller_fault"
-    """Refused for what the caller sent; counts for no service level."""
+    """Rejected because of an invalid request; counts for no service level."""
     CALLER_LEFT = "caller_left"
     """The caller closed the connection; counts for no service level."""
     REFUSED = "refused"
     FAILED = "failed"
-    """Broken off, or ended with an error after it was sent to a target."""
+    """Truncated, or ended with an error after it was sent to a target."""
 
 
 class OnceState(enum.Enum):
-    """What is known of a call that must run at most once."""
+    """Whether a call that must run at most once did so."""
 
     NOT_ASKED = "not_asked"
     KEPT = "kept"
     UNKNOWN = "unknown"
-    """Nobody can say whether it ran; a person must look."""
+    """It is unknown whether the call ran; a person must check."""
     DOUBLED = "doubled"
 
 
@@ -77,8 +77,8 @@
 
     Attributes:
         model: The model, or the target group of a plain service.
-        ttft_seconds: From the arrival to the first token; None without one.
-        mean_gap_seconds: Mean time between tokens; None under two tokens.
+        ttft_seconds: Time from arrival to the first token; None without a token.
+        mean_gap_seconds: Mean time between tokens; None for fewer than two tokens.
     """
 
     customer: CustomerId
@@ -90,7 +90,7 @@
 
 
 class _Column(enum.IntEnum):
-    """Where each count of a row stands."""
+    """Index of each count in a row."""
 
     REQUESTS = 0
     FAILED = 1
@@ -113,10 +113,10 @@
     """The counts of one daemon since its start.
 
     Attributes:
-        n_slots_lost: Slots dropped from memory before the object store took
-            them.
-        dropped_until_seconds: Wall time before which slots may have left the
-            memory.
+        n_slots_lost: Slots dropped from memory before they were written to the
+            object store.
+        dropped_until_seconds: Wall time before which slots may have been dropped
+            from memory.
     """
 
     def __init__(
@@ -128,7 +128,7 @@
         self.n_slots_lost = 0
         self.dropped_until_seconds = 0
         self._rows: dict[_Key, array[int]] = {}
-        self._slot = 0
+        self._open_slot_index = 0
         self._closed: OrderedDict[int, bytes] = OrderedDict()
         self._unsaved: set[int] = set()
         self._closed_bytes = 0
@@ -136,9 +136,9 @@
     def record(self, sample: Sample, wall_seconds: float) -> None:
         """Count one request that ended at ``wall_seconds`` since the epoch."""
         slot = int(wall_seconds) // SLOT_SECONDS
-        # A wall clock that was set back must not reopen a slot that has been
-        # written; its requests count in the open one.
-        if slot > self._slot:
+        # After the wall clock is set back, requests are counted in the open slot:
+        # an earlier slot may already be written and must not change.
+        if slot > self._open_slot_index:
             self.close(wall_seconds)
         row = self._row((sample.customer, sample.model))
         if sample.end in _COUNTED_ENDS:
@@ -155,16 +155,16 @@
             row[_Column.ONCE_BROKEN] += sample.once is not OnceState.KEPT
 
     def close(self, wall_seconds: float) -> None:
-        """Close the open slot if its time has passed and open the next."""
+        """Close the open slot and open the next one if the open slot has ended."""
         slot = int(wall_seconds) // SLOT_SECONDS
-        if slot <= self._slot:
+        if slot <= self._open_slot_index:
             return
-        self._keep_open_slot()
+        self._store_open_slot()
         self._rows = {}
-        self._slot = slot
+        self._open_slot_index = slot
 
     def unsaved(self) -> list[BurnSlot]:
-        """Return the closed slots that the object store has not taken yet."""
+        """Return the closed slots that are not in the object store yet."""
         return [self._unpack(slot) for slot in sorted(self._unsaved)]
 
     def mark_saved(self, start_wall_seconds: int) -> None:
@@ -172,7 +172,7 @@
         self._unsaved.discard(start_wall_seconds // SLOT_SECONDS)
 
     def slots(self, after_wall_seconds: float = 0.0) -> list[BurnSlot]:
-        """Return the slots in memory that end after a time, the open one last."""
+        """Return the slots in memory that end after a given time, the open one last."""
         kept = [
             self._unpack(slot)
             for slot in self._closed
@@ -183,7 +183,7 @@
         return kept
 
     def open_slot(self) -> BurnSlot | None:
-        """Return the open slot, for a daemon that is about to stop."""
+        """Return the open slot, to be written when the daemon stops."""
         return self._make_slot() if self._rows else None
 
     def status(self) -> dict[str, int]:
@@ -199,8 +199,8 @@
     def _row(self, key: _Key) -> "array[int]":
         row = self._rows.get(key)
         if row is None:
-            if len(self._rows) >= _MOST_ROWS:
-                key = (OTHER, OTHER)
+            if len(self._rows) >= _MAX_ROWS:
+                key = (OVERFLOW_NAME, OVERFLOW_NAME)
             row = self._rows.setdefault(key, array("I", _EMPTY_ROW))
         return row
 
@@ -215,25 +215,25 @@
         return BurnSlot(
             daemon_id=self.daemon_id,
             boot_id=self.boot_id,
-            start_wall_seconds=self._slot * SLOT_SECONDS,
+            start_wall_seconds=self._open_slot_index * SLOT_SECONDS,
             length_seconds=SLOT_SECONDS,
             counts=[_make_count(key, row) for key, row in self._rows.items()],
         )
 
-    def _keep_open_slot(self) -> None:
+    def _store_open_slot(self) -> None:
         if not self._rows:
             return
         data = zlib.compress(msgspec.msgpack.encode(self._make_slot()), 1)
-        self._closed[self._slot] = data
+        self._closed[self._open_slot_index] = data
         self._closed_bytes += len(data)
-        self._unsaved.add(self._slot)
-        while self._closed_bytes > _KEPT_BYTES and len(self._closed) > 1:
+        self._unsaved.add(self._open_slot_index)
+        while self._closed_bytes > _MAX_CLOSED_BYTES and len(self._closed) > 1:
             oldest, dropped = self._closed.popitem(last=False)
             self._closed_bytes -= len(dropped)
             self.dropped_until_seconds = (oldest + 1) * SLOT_SECONDS
             if oldest in self._unsaved:
-                # The object store has been down for so long that memory runs
-                # out; the report says how much is missing.
+                # The object store was down until the memory limit was reached;
+                # the report shows how many slots are missing.
                 self._unsaved.discard(oldest)
                 self.n_slots_lost += 1
 
@@ -259,10 +259,10 @@
 
 
 def add_counts(first: BurnCount, second: BurnCount) -> BurnCount:
-    """Return the sum of two counts under the first one's names."""
+    """Return the sum of two counts, with the customer and model of the first."""
     buckets = [
         left + right
-        # Another release may have fewer bounds; its counts end sooner.
+        # Another release may have fewer buckets.
         for left, right in itertools.zip_longest(
             first.first_token_buckets, second.first_token_buckets, fillvalue=0
         )
@@ -283,7 +283,7 @@
 
 
 def sum_slots(slots: Iterable[BurnSlot], hour: int) -> BurnSlot | None:
-    """Return one slot of an hour's length from one daemon's slots of it."""
+    """Sum one daemon's slots of an hour into one slot; None without counts."""
     sums: dict[_Key, BurnCount] = {}
     daemon_id = boot_id = ""
     for slot in slots:
@@ -305,5 +305,5 @@
 def make_recorder(
     daemon_id: DaemonId, boot_id: str, objectives: ObjectiveSettings
 ) -> Recorder:
-    """Return a recorder without counts."""
+    """Return an empty recorder."""
     return Recorder(daemon_id, boot_id, objectives)
