--- a/features/report/beliefs.feature
+++ b/features/report/beliefs.feature
@@ -1,11 +1,11 @@
 Feature: What daemons believe is read and compared
 
   Scenario Outline: Daemons that differ in <what> are told apart
-    Callers of one daemon are refused and those of another are served. The difference
-    between what the two believe says where to look.
+    Guards against a fault of one daemon that the comparison does not show: callers of
+    one daemon are rejected while callers of another are served.
     Given status pages of three daemons
     When the third believes <other>
-    Then they differ in <what>, and the third stands alone
+    Then they differ in <what>, and only the third differs from the others
 
     Examples:
       | what          | other                    |
@@ -22,12 +22,12 @@
   Scenario: Two holders of one duty are told
     Given status pages of three daemons
     When the third believes that it holds a duty of the first
-    Then the duty is told with both holders
+    Then the duty is listed with both holders
 
   Scenario Outline: A page that <what> is a typed failure
     Given a status page that <what>
     When it is read
-    Then it is a failure that says what it is
+    Then it is a failure that names the status page
 
     Examples:
       | what                       |
--- a/features/report/burn.feature
+++ b/features/report/burn.feature
@@ -1,12 +1,12 @@
 Feature: Service-level burn
-  The report tells who is burning an error budget and how fast. It must page for
-  a fault that matters, stay quiet for one that is over, and never show what it
-  does not know as good.
+  The report shows who spends an error budget and how fast. It must page for a
+  serious fault, stay quiet after the fault has ended, and never show unknown
+  counts as good.
 
   Scenario Outline: An alarm follows the budget, not the moment
-    Shoppers meet a fault at a kiosk. The person on call is woken when the fault
-    spends the budget quickly and still goes on, gets a ticket when it spends it
-    slowly, and is left alone when it is over or within the objective.
+    Guards against alarms for faults that are over or within the objective, and
+    against missing ones: a fault that spends the budget quickly and continues must
+    page, a fault that spends it slowly must open a ticket.
 
     Given 2 requests a second for 3 days that all succeed
     And <bad>% of them have failed from <from> to <until> minutes ago
@@ -14,14 +14,14 @@
     Then the alarm of "success" is "<alarm>"
 
     Examples:
-      | bad | from | until | alarm  | why                                |
-      | 5   | 60   | 0     | page   | 50 times too many, and going on    |
-      | 5   | 60   | 35    | none   | spent much, but is over            |
-      | 5   | 5    | 0     | none   | five minutes are no hour yet       |
-      | 0.8 | 360  | 0     | page   | 8 times too many for six hours     |
-      | 0.4 | 1440 | 0     | ticket | 4 times too many for a day         |
-      | 0.2 | 4320 | 0     | ticket | twice too many for three days      |
-      | 0.0 | 4320 | 0     | none   | all is well                        |
+      | bad | from | until | alarm  | why                                 |
+      | 5   | 60   | 0     | page   | 50 times the objective, ongoing     |
+      | 5   | 60   | 35    | none   | much of the budget spent, but over  |
+      | 5   | 5    | 0     | none   | the hour's burn rate is still low   |
+      | 0.8 | 360  | 0     | page   | 8 times the objective for six hours |
+      | 0.4 | 1440 | 0     | ticket | 4 times the objective for a day     |
+      | 0.2 | 4320 | 0     | ticket | twice the objective for three days  |
+      | 0.0 | 4320 | 0     | none   | no failures                         |
 
   Scenario Outline: Each service level counts its own kind of bad answer
     Given 200 samples of which 40 are "<sample>"
@@ -49,8 +49,8 @@
     Then "first_token" shows neither a burn rate nor a budget
 
   Scenario: A flood of names does not fill the memory
-    A caller with a working key sends made-up model names for an hour. The
-    recorder must stay within its bound and still count the known ones.
+    Guards against unbounded memory when a caller with a valid key sends made-up
+    model names. The recorder must stay within its limit and count every request.
 
     Given a recorder that has seen 990 customers with 8 models
     When 50000 requests with other names follow
--- a/features/report/explain.feature
+++ b/features/report/explain.feature
@@ -1,12 +1,12 @@
 Feature: From a request's id to the cause of its end
 
   Scenario Outline: <case>
-    A caller complains and names its request. All that is left are the logs of some
-    daemons, with whatever a collector put in front of each line.
+    Guards against a wrong or missing cause when only the logs of some daemons are
+    left, with the prefix that a log collector puts in front of each line.
     Given logs of two daemons in which request r1 <case>
     When request r1 is explained
     Then the cause says "<words>"
-    And its lines come in the order of their times
+    And its lines are in order of their timestamps
 
     Examples:
       | case                                  | words                              |
--- a/features/report/gather.feature
+++ b/features/report/gather.feature
@@ -1,8 +1,8 @@
 Feature: Gathering the report from daemons
   Scenario Outline: What cannot be seen is shown as missing
-    The person on call looks at the report during an outage. A daemon that does
-    not answer may be the one that fails its callers, so it must stand at the
-    top as missing, and the command must not exit as if all were seen.
+    Guards against an incomplete report that looks complete: a daemon that does not
+    answer may be the one with the fault, so the report must list it as missing at
+    the top, and the command must not exit as if all daemons had answered.
 
     Given two daemons with counts, the second one <fault>
     When the report is gathered
@@ -27,4 +27,4 @@
   Scenario: No key, no counts
     Given two daemons with counts, the second one well
     When the report is gathered with a caller's key
-    Then nothing is told
+    Then there is no report
--- a/features/report/history.feature
+++ b/features/report/history.feature
@@ -1,10 +1,10 @@
 Feature: History that outlives VMs
-  Entry VMs have no disks and are replaced at any time.
+  Entry VMs have no disks and may be replaced at any time.
 
   Scenario: A VM is replaced without notice
-    A daemon has counted for 42 minutes when its VM is taken away in the middle
-    of a slot. A new VM starts under the same name. The report must still show
-    what the first one saw, except for its last, unwritten minutes.
+    Guards against lost counts when a VM is removed in the middle of a slot after
+    42 minutes and a new VM starts under the same name. Only the counts of the last,
+    unwritten minutes may be missing.
 
     Given a daemon that counts one request a second
     When 42 minutes pass
@@ -20,8 +20,8 @@
     Then the history and the daemon together show exactly 3120 requests
 
   Scenario Outline: The object store is away
-    The store is down while slots close. Their counts wait in memory and are
-    written once, when it is back; nothing is counted twice or lost.
+    Guards against counts that are lost or counted twice when slots close while the
+    store is down. The slots must stay in memory and be written once it is available.
 
     Given a daemon that counts one request a second
     And an object store that is down from minute <down> to minute <up>
--- a/features/report/steps/beliefs_steps.py
+++ b/features/report/steps/beliefs_steps.py
@@ -69,9 +69,9 @@
     compare(context)
 
 
-@then("they differ in {what}, and the third stands alone")
+@then("they differ in {what}, and only the third differs from the others")
 def step_differ(context, what):
-    # Weights and targets are counted together only where the target is the same.
+    # States and weights are compared as counts over all targets.
     assert what in context.differences, context.differences
     assert ("c",) in context.differences[what].told.values()
 
@@ -81,7 +81,7 @@
     assert context.differences == {}, context.differences
 
 
-@then("the duty is told with both holders")
+@then("the duty is listed with both holders")
 def step_duty(context):
     assert context.differences["duties"].told == {"weights": ("a", "c")}
 
@@ -105,7 +105,7 @@
     context.read = read_belief(context.page)
 
 
-@then("it is a failure that says what it is")
+@then("it is a failure that names the status page")
 def step_failure(context):
     match context.read:
         case Failure(StatusUnreadable(reason=reason)):
--- a/features/report/steps/burn_steps.py
+++ b/features/report/steps/burn_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the burn rates and the recorder."""
+"""Steps of burn.feature."""
 
 from behave import given, then, when
 
@@ -47,7 +47,7 @@
         start = NOW - (index + 1) * SLOT_SECONDS
         is_inside = last * 60 <= index * SLOT_SECONDS < first * 60
         n_failed = round(context.per_slot * bad / 100 * 100) / 100 if is_inside else 0
-        # Fractions of a request add up over slots.
+        # Fractions of a request are carried over to the next slot.
         total = context.bad_by_slot.get("sum", 0.0) + n_failed
         context.bad_by_slot["sum"] = total - int(total)
         count = BurnCount(
--- a/features/report/steps/explain_steps.py
+++ b/features/report/steps/explain_steps.py
@@ -56,7 +56,7 @@
     assert words in context.found.cause, context.found.cause
 
 
-@then("its lines come in the order of their times")
+@then("its lines are in order of their timestamps")
 def step_order(context):
     times = [line.text("timestamp") for line in context.found.lines]
     assert times and times == sorted(times), times
--- a/features/report/steps/gather_steps.py
+++ b/features/report/steps/gather_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the gathering over HTTP."""
+"""Steps of gather.feature, which collects counts over HTTP."""
 
 import asyncio
 import socket
@@ -96,7 +96,7 @@
     context.report = asyncio.run(gather_from(context, "caller"))
 
 
-@then("nothing is told")
+@then("there is no report")
 def then_nothing(context):
     assert context.report is None
 
--- a/features/report/steps/history_steps.py
+++ b/features/report/steps/history_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the history in the object store, on a clock that tests move."""
+"""Steps of history.feature, on a simulated clock."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class InMemoryObjects:
-    """An object store that can be away."""
+    """An in-memory object store that can be down."""
 
     def __init__(self):
         self.data = {}
@@ -44,7 +44,7 @@
 
 
 class CountingDaemon:
-    """A recorder and its keeper, driven second by second without waiting."""
+    """A recorder and its history manager, advanced second by second."""
 
     def __init__(self, clock, objects, boot):
         self.clock = clock
