--- a/features/capacity/steps/whole_steps.py
+++ b/features/capacity/steps/whole_steps.py
@@ -87,7 +87,7 @@
             context.fleet = body
             context.told = await ask_revisions(body["daemons"])
         context.held = [
-            engine.desk.weights_version for engine in fleet.standins.engines
+            engine.orders.weights_version for engine in fleet.standins.engines
         ]
 
 
@@ -113,7 +113,7 @@
 
     async def count(self, request):
         answer = await take(self, request)
-        context.imports.append((answer.status, self.desk.weights_version))
+        context.imports.append((answer.status, self.orders.weights_version))
         return answer
 
     with unittest.mock.patch.object(EngineStandin, "_post_kv", count):
--- a/features/targets/steps/reports.py
+++ b/features/targets/steps/reports.py
@@ -178,7 +178,7 @@
     if state == "stopped":
         context.run(context.engine.stop())
     else:
-        context.engine.desk.state = EngineHealthState(state)
+        context.engine.orders.state = EngineHealthState(state)
     observe(context)
     context.run(wait_until(lambda: context.seen["signs"]))
 
--- a/features/targets/steps/streams.py
+++ b/features/targets/steps/streams.py
@@ -51,7 +51,7 @@
 
 @given('the engine holds the weights "{weights}"')
 def given_weights(context, weights):
-    context.bed.engine.desk.weights_version = weights
+    context.bed.engine.orders.weights_version = weights
 
 
 @when("a caller asks for {n:d} tokens over a relay")
--- a/lycheepost/platform/models/serverface.py
+++ b/lycheepost/platform/models/serverface.py
@@ -194,7 +194,7 @@
         self._timing = make_engine_timing(self.name, STANDIN_SPEEDS, SystemClock())
         for load in self._loads:
             load.cancel()
-        self._server.cut_connections()
+        self._server.abort_connections()
 
     def freeze(self) -> None:
         """Let open connections go silent for good; new ones work."""
@@ -279,7 +279,7 @@
 
     async def _health(self, request: web.Request) -> web.StreamResponse:
         self.n_health_checks += 1
-        await self._server.gate(request)
+        await self._server.block_if_frozen(request)
         status = 503 if self.is_leaving else 200
         return web.Response(status=status, headers=self._head(request))
 
@@ -317,7 +317,7 @@
         self._loads.add(task)
         task.add_done_callback(self._loads.discard)
         if self.loses_order_answers:
-            self._server.cut_connection(request)
+            self._server.abort_connection(request)
         return web.Response(status=202, headers=self._notice_head())
 
     async def _load(self, version: int) -> None:
@@ -326,7 +326,7 @@
         self.state.is_changing = False
 
     async def _run(self, request: web.Request) -> web.StreamResponse:
-        await self._server.gate(request)
+        await self._server.block_if_frozen(request)
         body = await request.read()
         refused = self._check(request)
         if refused is not None:
@@ -365,7 +365,7 @@
             head[names.SEAL] = seal_of(text)
         match fault:
             case LostAnswer():
-                self._server.cut_connection(request)
+                self._server.abort_connection(request)
             case OwnFailure(status=status):
                 return web.Response(status=status, headers=head, body=text)
             case Truncated():
@@ -373,7 +373,7 @@
                 response.content_length = len(text)
                 await response.prepare(request)
                 await response.write(text[: len(text) // 2])
-                self._server.cut_connection(request)
+                self._server.abort_connection(request)
                 return response
             case Encoded():
                 head["Content-Encoding"] = "gzip"
@@ -431,7 +431,7 @@
             case Truncated(after_events=n) if number > n:
                 self.on_fault()
                 await response.write(event[: len(event) // 2])
-                self._server.cut_connection(request)
+                self._server.abort_connection(request)
                 return False
             case Silent(after_events=n) if number > n:
                 await asyncio.sleep(_NEVER_SECONDS)
--- a/lycheepost/platform/models/storeface.py
+++ b/lycheepost/platform/models/storeface.py
@@ -61,7 +61,7 @@
     def _guard(self, handler):  # type: ignore[no-untyped-def]
         async def handle(request: web.Request) -> web.StreamResponse:
             self.n_calls += 1
-            await self._server.gate(request)
+            await self._server.block_if_frozen(request)
             if (
                 self.store.faults.refuses()
                 or request.remote in self.store.refused_hosts
@@ -80,11 +80,11 @@
             task = asyncio.create_task(self._apply_late(wire))
             self._late.add(task)
             task.add_done_callback(self._late.discard)
-            self._server.cut_connection(request)
+            self._server.abort_connection(request)
             return web.Response(status=500)
         answer = self._apply(wire)
         if self.store.faults.take("n_lost_answers"):
-            self._server.cut_connection(request)
+            self._server.abort_connection(request)
         return answer
 
     async def _apply_late(self, wire: WireTransaction) -> None:
--- a/lycheepost/standin/engine.py
+++ b/lycheepost/standin/engine.py
@@ -1,8 +1,9 @@
-"""The stand-in engine: the engines' HTTP interface on a loopback port.
+"""Stand-in engine that serves the engines' HTTP interface on a loopback port.
 
 Answers come from ``standin.answers``, their timing and the prefix cache from
-``standin.enginetiming``, their events from ``standin.enginerun``. Here are the
-life cycle (crash, freeze), the orders and the HTTP calls of docs/DESIGN.md.
+``standin.enginetiming``, their events from ``standin.enginerun``. This module
+implements the life cycle (crash, freeze), the orders and the HTTP calls of
+docs/DESIGN.md.
 """
 
 import asyncio
@@ -38,7 +39,7 @@
     EngineTiming,
     make_engine_timing,
 )
-from lycheepost.standin.enginewire import cross_event, parse_levels, refuse
+from lycheepost.standin.enginewire import parse_levels, refuse, substitute_event
 from lycheepost.standin.faults import (
     CrashAt,
     Crossed,
@@ -58,16 +59,16 @@
 from lycheepost.utils.documents import encode_record
 
 _log = structlog.get_logger(part="standin")
-_KEPT_RUNS = 2000
-"""Ended runs that can still be read again; bounds the memory of a long demo."""
-_NEVER_SECONDS = 3600.0
+_MAX_KEPT_RUNS = 2000
+"""Runs kept for clients that resume; bounds the memory of a long demo."""
+_HANG_SECONDS = 3600.0
 
 
 TimingFactory = Callable[[], EngineTiming]
 
 
 class EngineStandin:
-    """One engine with its HTTP face."""
+    """One engine with its HTTP server."""
 
     def __init__(
         self,
@@ -84,7 +85,7 @@
         self._server = StandinServer(self._make_app, settings.host, settings.port)
         self._runs: dict[str, EngineRun] = {}
         self._loads: list[tuple[float, EngineLoad]] = []
-        self.desk = EngineOrders(settings, self._use_new_weights)
+        self.orders = EngineOrders(settings, self._use_new_weights)
         self._restart_task: asyncio.Task[None] | None = None
         self._sample_task: asyncio.Task[None] | None = None
         self._boot()
@@ -101,8 +102,8 @@
         return url
 
     async def stop(self) -> None:
-        """Cut all connections and stop."""
-        self.desk.stop()
+        """Abort all connections and stop."""
+        self.orders.stop()
         for task in (self._restart_task, self._sample_task):
             if task is not None:
                 task.cancel()
@@ -111,18 +112,18 @@
         await self._server.stop()
 
     def crash(self) -> None:
-        """Cut all connections; come back empty after ``restart_seconds``."""
-        self._server.cut_connections()
+        """Abort all connections; restart empty after ``restart_seconds``."""
+        self._server.abort_connections()
         self._end_runs()
         if self._restart_task is None or self._restart_task.done():
             self._restart_task = asyncio.create_task(self._restart())
 
     def freeze(self) -> None:
-        """Let open connections go silent for good; new ones work."""
+        """Stall the open connections permanently; new ones work."""
         self._server.freeze_connections()
 
     def running(self) -> list[RunRecord]:
-        """Return the records of runs that go on."""
+        """Return the records of runs that have not ended."""
         return [item for item in self.records if item.state is RunState.RUNNING]
 
     async def _restart(self) -> None:
@@ -132,18 +133,18 @@
         self._boot()
         await asyncio.sleep(self.settings.restart_seconds)
         await self._server.start()
-        _log.info("standin: engine is back", engine=self.settings.name)
+        _log.info("standin: engine restarted", engine=self.settings.name)
 
     def _boot(self) -> None:
-        """Start empty: no cache, no runs, no memory of orders, a new boot id."""
+        """Start with a new boot id and without cache, runs and orders."""
         self.boot_id = uuid.uuid4().hex
-        self.desk.reset()
+        self.orders.reset()
         self._runs = {}
         self._loads = []
         self._timing = self._make_timing()
 
     def _use_new_weights(self) -> None:
-        """Drop the cache: its blocks are worth nothing to other weights."""
+        """Drop the cache, whose blocks are invalid for other weights."""
         self._timing = self._make_timing()
 
     def _end_runs(self) -> None:
@@ -159,7 +160,7 @@
         app.router.add_get("/health", self._get_health)
         app.router.add_get("/load", self._get_load)
         app.router.add_get("/events", self._get_events)
-        app.router.add_post("/orders", self.desk.post)
+        app.router.add_post("/orders", self.orders.post)
         app.router.add_get("/kv/{digest}", self._get_kv)
         app.router.add_post("/kv/import", self._post_kv)
         return app
@@ -171,16 +172,16 @@
         text = raw.decode(errors="replace")
         fault = self.faults.take(text)
         if isinstance(fault, Swallowed):
-            await asyncio.sleep(_NEVER_SECONDS)
+            await asyncio.sleep(_HANG_SECONDS)
         if isinstance(fault, Refused):
             return refuse(fault.status, "refused by fault", fault.retry_after_seconds)
         if self.settings.crash_text and self.settings.crash_text in text:
             self.crash()
-            await asyncio.sleep(_NEVER_SECONDS)
-        if self.desk.state is not EngineHealthState.SERVING:
-            return refuse(503, f"engine is {self.desk.state.value}", 1)
-        wanted = request.headers.get("X-Weights-Version", self.desk.weights_version)
-        if wanted != self.desk.weights_version:
+            await asyncio.sleep(_HANG_SECONDS)
+        if self.orders.state is not EngineHealthState.SERVING:
+            return refuse(503, f"engine is {self.orders.state.value}", 1)
+        wanted = request.headers.get("X-Weights-Version", self.orders.weights_version)
+        if wanted != self.orders.weights_version:
             return refuse(409, "engine holds other weights")
         try:
             run = self._start_run(request, json.loads(raw))
@@ -189,36 +190,36 @@
         is_stream = bool(json.loads(raw).get("stream"))
         if is_stream:
             return await self._send_stream(request, run, 0, fault)
-        return await self._send_whole(request, run, fault)
+        return await self._send_complete(request, run, fault)
 
     def _start_run(self, request: web.Request, body: dict[str, Any]) -> EngineRun:
         name = request.headers.get("X-Request-Id") or uuid.uuid4().hex
         is_chat = request.path.endswith("/chat/completions")
-        asked = make_run_request(name, is_chat, body, self.settings.max_tokens)
-        prompt_tokens = answers.count_prompt_tokens(asked.prompt_text)
+        run_request = make_run_request(name, is_chat, body, self.settings.max_tokens)
+        prompt_tokens = answers.count_prompt_tokens(run_request.prompt_text)
         digests = request.headers.get("X-Prefix-Digests", "")
         work = EngineRequest(
             request=RequestId(name),
             salt=str(body.get("cache_salt", "")),
-            levels=parse_levels(digests, asked.prompt_text, prompt_tokens),
+            levels=parse_levels(digests, run_request.prompt_text, prompt_tokens),
             prompt_tokens=prompt_tokens,
-            output_tokens=asked.n_tokens,
+            output_tokens=run_request.n_tokens,
             priority=int(body.get("priority", 0)),
         )
         record = RunRecord(
             request=name,
             boot_id=self.boot_id,
-            prompt_hash=hash_bytes(asked.prompt_text.encode()),
+            prompt_hash=hash_bytes(run_request.prompt_text.encode()),
             prompt_tokens=prompt_tokens,
         )
         self.records.append(record)
-        run = EngineRun(asked, work, self._timing, record)
+        run = EngineRun(run_request, work, self._timing, record)
         self._runs[name] = run
-        self._forget_old_runs()
+        self._drop_oldest_ended_runs()
         return run
 
-    def _forget_old_runs(self) -> None:
-        while len(self._runs) > _KEPT_RUNS:
+    def _drop_oldest_ended_runs(self) -> None:
+        while len(self._runs) > _MAX_KEPT_RUNS:
             oldest = next(iter(self._runs))
             if not self._runs[oldest].is_done:
                 return
@@ -228,10 +229,10 @@
         return {
             "X-Request-Id": run.request.request,
             "X-Boot-Id": self.boot_id,
-            "X-Weights-Version": self.desk.weights_version,
+            "X-Weights-Version": self.orders.weights_version,
         }
 
-    async def _send_whole(
+    async def _send_complete(
         self, request: web.Request, run: EngineRun, fault: StreamFault | None
     ) -> web.StreamResponse:
         try:
@@ -244,17 +245,17 @@
         if isinstance(fault, SlowFirstByte):
             await asyncio.sleep(fault.seconds)
         headers = self._headers(run)
-        answer = run.whole_answer()
+        answer = run.complete_answer()
         if isinstance(fault, WrongEcho | Crossed):
             headers["X-Request-Id"] = f"other-{run.request.request}"
             answer["id"] = f"chatcmpl-other-{run.request.request}"
         body = json.dumps(answer).encode()
         if isinstance(fault, Truncated):
-            return await self._send_cut(request, headers, body)
-        await self._server.gate(request)
+            return await self._send_truncated(request, headers, body)
+        await self._server.block_if_frozen(request)
         return web.Response(body=body, headers=headers, content_type="application/json")
 
-    async def _send_cut(
+    async def _send_truncated(
         self, request: web.Request, headers: dict[str, str], body: bytes
     ) -> web.StreamResponse:
         response = web.StreamResponse(headers=headers)
@@ -262,7 +263,7 @@
         response.content_length = len(body)
         await response.prepare(request)
         await response.write(body[: len(body) // 2])
-        self._server.cut_connection(request)
+        self._server.abort_connection(request)
         return response
 
     async def _send_stream(
@@ -283,14 +284,14 @@
         response.content_type = "text/event-stream"
         run.n_readers += 1
         try:
-            await self._server.gate(request)
+            await self._server.block_if_frozen(request)
             await response.prepare(request)
             await self._send_events(request, response, run, start, fault)
         except ConnectionError:
             pass
         finally:
             run.n_readers -= 1
-            self._end_later_if_unread(run)
+            self._cancel_later_if_unread(run)
         return response
 
     async def _send_events(
@@ -303,16 +304,16 @@
     ) -> None:
         index = start
         while await run.wait_event(index):
-            await self._server.gate(request)
+            await self._server.block_if_frozen(request)
             data = run.events[index]
             index += 1
             match fault:
                 case Truncated(after_events=n) if n < index:
                     if not fault.is_clean:
-                        self._server.cut_connection(request)
+                        self._server.abort_connection(request)
                     return
                 case Silent(after_events=n) if n < index:
-                    await asyncio.sleep(_NEVER_SECONDS)
+                    await asyncio.sleep(_HANG_SECONDS)
                 case CrashAt(after_events=n) if n < index:
                     self.crash()
                     return
@@ -321,19 +322,19 @@
                 case Skipped(event=n) if n == index:
                     continue
                 case Crossed(event=n) if n == index:
-                    data = cross_event(data)
+                    data = substitute_event(data)
             await response.write(data)
         if run.record.state is not RunState.COMPLETE:
-            self._server.cut_connection(request)
+            self._server.abort_connection(request)
 
-    def _end_later_if_unread(self, run: EngineRun) -> None:
-        def end_if_unread() -> None:
+    def _cancel_later_if_unread(self, run: EngineRun) -> None:
+        def cancel_if_unread() -> None:
             if not run.n_readers:
                 run.end(RunState.CANCELLED)
 
         if not run.is_done:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.settings.resume_grace_seconds, end_if_unread)
+            loop.call_later(self.settings.resume_grace_seconds, cancel_if_unread)
 
     async def _get_stream(self, request: web.Request) -> web.StreamResponse:
         run = self._runs.get(request.match_info["request"])
@@ -342,7 +343,7 @@
         start = int(request.headers.get("Last-Event-ID", "0"))
         fault = self.resume_faults.take(run.request.request)
         if isinstance(fault, Swallowed):
-            await asyncio.sleep(_NEVER_SECONDS)
+            await asyncio.sleep(_HANG_SECONDS)
         if isinstance(fault, Refused):
             return refuse(fault.status, "the stream cannot be resumed")
         return await self._send_stream(request, run, start, fault)
@@ -359,21 +360,21 @@
     async def _get_health(self, request: web.Request) -> web.StreamResponse:
         health = EngineHealth(
             boot_id=self.boot_id,
-            state=self.desk.state,
-            model=self.desk.model,
-            weights_version=self.desk.weights_version,
-            adapter=self.desk.adapter,
-            role=self.desk.role,
-            desired_version=self.desk.desired_version,
-            fencing_number=self.desk.fencing_number,
+            state=self.orders.state,
+            model=self.orders.model,
+            weights_version=self.orders.weights_version,
+            adapter=self.orders.adapter,
+            role=self.orders.role,
+            desired_version=self.orders.desired_version,
+            fencing_number=self.orders.fencing_number,
         )
         return await self._report(request, health)
 
     async def _get_load(self, request: web.Request) -> web.StreamResponse:
         now = self._clock.now_seconds()
         newest = now - self.settings.load_lag_seconds
-        told = [item for item in self._loads if item[0] <= newest]
-        sampled, load = told[-1] if told else (now, self._sample_load(0.0))
+        old_enough = [item for item in self._loads if item[0] <= newest]
+        sampled, load = old_enough[-1] if old_enough else (now, self._sample_load(0.0))
         aged = EngineLoad(
             boot_id=load.boot_id,
             age_seconds=now - sampled,
@@ -392,7 +393,7 @@
         )
 
     async def _report(self, request: web.Request, record: Any) -> web.StreamResponse:
-        await self._server.gate(request)
+        await self._server.block_if_frozen(request)
         return web.Response(body=encode_record(record), content_type="application/json")
 
     def _sample_load(self, age_seconds: float) -> EngineLoad:
@@ -407,7 +408,7 @@
         )
 
     async def _sample_loads(self) -> None:
-        """Keep a short history of the load, from which late reports are made."""
+        """Keep recent load samples, from which delayed reports are served."""
         lag = self.settings.load_lag_seconds
         pause = max(0.05, lag / 4)
         while True:
@@ -416,7 +417,7 @@
             self._loads.append((now, self._sample_load(0.0)))
             await asyncio.sleep(pause)
 
-    # Kept KV.
+    # KV export and import.
 
     async def _get_kv(self, request: web.Request) -> web.StreamResponse:
         digest = PrefixDigest(int(request.match_info["digest"]))
@@ -427,13 +428,13 @@
             {
                 "digest": level.digest,
                 "n_tokens": level.end_tokens,
-                "weights_version": self.desk.weights_version,
+                "weights_version": self.orders.weights_version,
             }
         )
 
     async def _post_kv(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
-        if body.get("weights_version") != self.desk.weights_version:
+        if body.get("weights_version") != self.orders.weights_version:
             return refuse(409, "engine holds other weights")
         level = PrefixLevel(PrefixDigest(int(body["digest"])), int(body["n_tokens"]))
         self._timing.import_prefix(str(body.get("cache_salt", "")), level)
@@ -443,7 +444,7 @@
 def make_engine(
     settings: EngineStandinSettings, clock: Clock | None = None
 ) -> EngineStandin:
-    """Return an engine that is not yet started."""
+    """Return an engine that has not been started."""
     used_clock = clock or SystemClock()
     return EngineStandin(
         settings,
--- a/lycheepost/standin/enginecache.py
+++ b/lycheepost/standin/enginecache.py
@@ -1,8 +1,8 @@
-"""The prefix cache of the engine model: limited, LRU, separate per salt.
+"""Prefix cache of the engine model: an LRU cache of limited size, keyed by salt.
 
-Blocks are kept per prefix level. A level is used only together with all levels
-above it, and a level is always touched after those below it, so that least
-recently used eviction takes leaves first.
+Entries are prefix levels. A level is usable only together with all levels above it.
+A level is always touched after those below it, so that LRU eviction removes leaves
+first.
 """
 
 import random
@@ -14,12 +14,12 @@
 from lycheepost.decide.records import PrefixLevel
 from lycheepost.generated.engine import CacheEvent, CacheEventKind
 
-KEPT_EVENTS = 4096
-"""Events that an engine keeps for readers; older ones are a gap to them."""
+MAX_KEPT_EVENTS = 4096
+"""Events kept for readers; a reader that is further behind sees a gap."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Stamped:
+class _ScheduledEvent:
     event: CacheEvent
     at_seconds: float
 
@@ -28,10 +28,10 @@
     """Cached prefix levels of one incarnation.
 
     Args:
-        capacity_tokens: Most tokens kept.
+        capacity_tokens: Maximum number of cached tokens.
         event_lag_seconds: Time from a change to its publication.
-        event_loss_share: Share of events that readers never see.
-        rng: Chooses the lost ones.
+        event_loss_share: Share of events that are never published.
+        rng: Selects the lost events.
     """
 
     def __init__(
@@ -46,16 +46,16 @@
         self._event_loss_share = event_loss_share
         self._rng = rng
         self._entries: OrderedDict[tuple[str, PrefixDigest], int] = OrderedDict()
-        self._events: deque[_Stamped] = deque(maxlen=KEPT_EVENTS)
+        self._events: deque[_ScheduledEvent] = deque(maxlen=MAX_KEPT_EVENTS)
         self._sequence = 0
         self.n_tokens = 0
 
     def holds(self, salt: str, digest: PrefixDigest) -> bool:
-        """Tell whether a level is cached."""
+        """Return whether a level is cached."""
         return (salt, digest) in self._entries
 
     def look_up(self, salt: str, levels: Sequence[PrefixLevel]) -> int:
-        """Return the tokens of the longest cached prefix, and touch it."""
+        """Return the length of the longest cached prefix and mark it as used."""
         found: list[PrefixLevel] = []
         for level in levels:
             if (salt, level.digest) not in self._entries:
@@ -68,7 +68,7 @@
     def store(
         self, salt: str, levels: Sequence[PrefixLevel], now_seconds: float
     ) -> None:
-        """Keep the levels of a prompt; the least recently used leave."""
+        """Store the levels of a prompt and evict the least recently used ones."""
         starts = [0, *(level.end_tokens for level in levels[:-1])]
         for level, start in reversed(list(zip(levels, starts, strict=True))):
             key = (salt, level.digest)
@@ -97,10 +97,12 @@
         event = CacheEvent(
             sequence=self._sequence, kind=kind, digest=digest, n_tokens=n_tokens
         )
-        self._events.append(_Stamped(event, now_seconds + self._event_lag_seconds))
+        self._events.append(
+            _ScheduledEvent(event, now_seconds + self._event_lag_seconds)
+        )
 
     def published(self, after: int, now_seconds: float) -> list[CacheEvent]:
-        """Return the events above ``after`` that are public by now."""
+        """Return the events with a sequence above ``after`` that are published."""
         found: list[CacheEvent] = []
         for stamped in reversed(self._events):
             if stamped.event.sequence <= after:
--- a/lycheepost/standin/enginemodel.py
+++ b/lycheepost/standin/enginemodel.py
@@ -1,14 +1,14 @@
-"""A model of one batching engine in virtual time.
+"""Simulates one engine with continuous batching in virtual time.
 
-Pure: no clock and no I/O. ``submit`` and ``cancel`` take the time, ``advance``
-runs the engine up to a time and returns what happened, ``next_event_seconds``
-tells when to look again. The policy bench drives it from its event heap, the
-HTTP stand-in from a real clock.
+Pure: no clock and no I/O. ``submit`` and ``cancel`` take the current time,
+``advance`` runs the engine up to a given time and returns the events since, and
+``next_event_seconds`` returns when to call it next. The policy bench drives the
+engine from its event heap, the HTTP stand-in from a real clock.
 
-Work runs in iterations, as in engines with continuous batching: each iteration
-gives every running request one token and prefills up to a chunk of the prompts
-that wait. Output tokens are counted per engine, not per request, so that an
-iteration costs the same with 1 and with 64 requests running.
+Work runs in iterations: each one generates one token for every running request and
+prefills up to one chunk of the waiting prompts. Output tokens are counted per engine
+and not per request, so that simulating an iteration costs the same with 1 and with
+64 running requests.
 """
 
 import heapq
@@ -40,20 +40,20 @@
 
 
 @dataclass(slots=True)
-class _Iteration:
-    """The iterations under way: one, or a run of equal ones without prefill."""
+class _IterationBatch:
+    """The current iteration, or a batch of equal iterations without prefill."""
 
     started_seconds: float
-    each_seconds: float
+    seconds_per_iteration: float
     n_iterations: int
 
     def end_seconds(self) -> float:
-        return self.started_seconds + self.each_seconds * self.n_iterations
+        return self.started_seconds + self.seconds_per_iteration * self.n_iterations
 
 
 @dataclass(slots=True)
 class _Counters:
-    """Totals since the start, for the bench."""
+    """Totals since the start, read by the bench."""
 
     prompt_tokens: int = 0
     prefilled_tokens: int = 0
@@ -62,7 +62,7 @@
 
 
 class Engine:
-    """One engine; see the module."""
+    """One engine; see the module's description."""
 
     def __init__(self, name: str, settings: EngineSettings, seed: int) -> None:
         self.name = name
@@ -90,24 +90,24 @@
         self._n_running = 0
         self._queued_tokens = 0
         self._token_count = 0
-        self._current: _Iteration | None = None
+        self._current: _IterationBatch | None = None
         self._reports: deque[EngineReport] = deque()
 
     def submit(self, spec: EngineRequest, now_seconds: float) -> list[EngineEvent]:
-        """Take a request; returns what happened until now."""
+        """Add a request and return the events until now."""
         events = self.advance(now_seconds)
         self._n_submitted += 1
         job = _Job(spec, self._n_submitted, spec.prompt_tokens)
         self._jobs[spec.request] = job
         heapq.heappush(self._waiting, (spec.priority, job.order, job))
         self._queued_tokens += spec.prompt_tokens
-        self._cut_run_short(now_seconds)
-        self._begin(now_seconds)
-        self._note_load(now_seconds)
+        self._shorten_batch(now_seconds)
+        self._start_iterations(now_seconds)
+        self._record_load(now_seconds)
         return events
 
     def cancel(self, request: RequestId, now_seconds: float) -> list[EngineEvent]:
-        """Stop a request; returns what happened until now."""
+        """Cancel a request and return the events until now."""
         events = self.advance(now_seconds)
         job = self._jobs.pop(request, None)
         if job is None:
@@ -119,15 +119,15 @@
             self._queued_tokens -= job.remaining_tokens
         if self._prefilling is job:
             self._prefilling = None
-        self._note_load(now_seconds)
+        self._record_load(now_seconds)
         return events
 
     def crash(self, now_seconds: float) -> list[EngineEvent]:
-        """Lose everything and come back empty as a new incarnation."""
+        """Lose all requests and restart empty as a new incarnation."""
         events = self.advance(now_seconds)
-        return events + self._lose_all(now_seconds)
+        return events + self._drop_all_and_reboot(now_seconds)
 
-    def _lose_all(self, now_seconds: float) -> list[EngineEvent]:
+    def _drop_all_and_reboot(self, now_seconds: float) -> list[EngineEvent]:
         lost = [
             EngineEvent(EngineEventKind.LOST, request, now_seconds)
             for request in self._jobs
@@ -136,41 +136,41 @@
         return lost
 
     def slow_down(self, slowness: float, now_seconds: float) -> list[EngineEvent]:
-        """Make all further iterations take ``slowness`` times as long."""
+        """Multiply the duration of all further iterations by ``slowness``."""
         events = self.advance(now_seconds)
-        self._cut_run_short(now_seconds)
+        self._shorten_batch(now_seconds)
         self.settings = replace(self.settings, slowness=slowness)
         return events
 
     def next_event_seconds(self) -> float | None:
-        """Return when the iterations under way end; None when idle."""
+        """Return when the current iterations end; None when idle."""
         return None if self._current is None else self._current.end_seconds()
 
     def n_tokens(self, request: RequestId) -> int:
-        """Return the output tokens that a running request has so far."""
+        """Return the number of output tokens of a running request so far."""
         job = self._jobs.get(request)
         if job is None or not job.is_started:
             return 0
         return self._token_count - job.start_count + 1
 
     def advance(self, now_seconds: float) -> list[EngineEvent]:
-        """Run up to ``now_seconds`` and return what happened, in order."""
+        """Run up to ``now_seconds`` and return the events in order."""
         events: list[EngineEvent] = []
         while self._current is not None:
             end_seconds = self._current.end_seconds()
             if end_seconds > now_seconds:
                 break
             events.extend(self._complete(end_seconds))
-            self._begin(end_seconds)
+            self._start_iterations(end_seconds)
         return events
 
-    def _cut_run_short(self, now_seconds: float) -> None:
-        """End a run of equal iterations at the next whole one."""
+    def _shorten_batch(self, now_seconds: float) -> None:
+        """End a batch of equal iterations after the current iteration."""
         current = self._current
         if current is None or current.n_iterations == 1:
             return
         elapsed = now_seconds - current.started_seconds
-        done = int(elapsed / current.each_seconds) + 1
+        done = int(elapsed / current.seconds_per_iteration) + 1
         current.n_iterations = min(current.n_iterations, done)
 
     def _complete(self, end_seconds: float) -> list[EngineEvent]:
@@ -180,12 +180,12 @@
         self.counters.busy_seconds += end_seconds - current.started_seconds
         self._token_count += current.n_iterations
         self.counters.output_tokens += current.n_iterations * self._n_running
-        events = self._finish_due(end_seconds)
+        events = self._finish_completed(end_seconds)
         events.extend(self._advance_prefill(end_seconds))
-        self._note_load(end_seconds)
+        self._record_load(end_seconds)
         return events
 
-    def _finish_due(self, end_seconds: float) -> list[EngineEvent]:
+    def _finish_completed(self, end_seconds: float) -> list[EngineEvent]:
         events = []
         while self._running and self._running[0][0] <= self._token_count:
             job = heapq.heappop(self._running)[2]
@@ -204,8 +204,8 @@
         for job, n_tokens in plan:
             if job.is_cancelled:
                 continue
-            if job.spec.kills:
-                return events + self._lose_all(end_seconds)
+            if job.spec.crashes_engine:
+                return events + self._drop_all_and_reboot(end_seconds)
             job.remaining_tokens -= n_tokens
             self._queued_tokens -= n_tokens
             self.counters.prefilled_tokens += n_tokens
@@ -214,10 +214,10 @@
         return events
 
     def _plan_prefill(self) -> int:
-        """Choose the prompts of the next iteration; returns their tokens.
+        """Select the prompts of the next iteration and return their tokens.
 
-        A job whose prompt does not fit the chunk goes on in the next
-        iteration, before others; each job holds a slot of the batch.
+        A prompt that does not fit the chunk continues in the next iteration,
+        before others. Each job takes one slot of the batch.
         """
         free_tokens = self.settings.chunk_tokens
         free_slots = self.settings.max_running - self._n_running
@@ -244,7 +244,7 @@
     def _look_up(self, job: _Job) -> None:
         spec = job.spec
         cached = self.cache.look_up(spec.salt, spec.levels)
-        # The last token is always computed, since the first output needs it.
+        # The last prompt token is always computed: the first output needs it.
         job.cached_tokens = min(cached, spec.prompt_tokens - 1)
         job.remaining_tokens = spec.prompt_tokens - job.cached_tokens
         self._queued_tokens -= job.cached_tokens
@@ -266,10 +266,10 @@
             )
         ]
         heapq.heappush(self._running, (end_count, job.order, job))
-        events.extend(self._finish_due(now_seconds))
+        events.extend(self._finish_completed(now_seconds))
         return events
 
-    def _begin(self, now_seconds: float) -> None:
+    def _start_iterations(self, now_seconds: float) -> None:
         if self._current is not None:
             return
         chunk = self._plan_prefill()
@@ -282,15 +282,15 @@
             + settings.prefill_seconds_per_token * chunk
         ) * settings.slowness
         n_iterations = 1 if chunk else self._iterations_until_finish()
-        self._current = _Iteration(now_seconds, each, n_iterations)
+        self._current = _IterationBatch(now_seconds, each, n_iterations)
 
     def _iterations_until_finish(self) -> int:
         while self._running and self._running[0][2].is_cancelled:
             heapq.heappop(self._running)
         n_iterations = max(1, self._running[0][0] - self._token_count)
-        return min(n_iterations, self.settings.most_iterations)
+        return min(n_iterations, self.settings.max_batched_iterations)
 
-    def _note_load(self, now_seconds: float) -> None:
+    def _record_load(self, now_seconds: float) -> None:
         report = EngineReport(
             incarnation=self.incarnation,
             measured_seconds=now_seconds,
@@ -303,7 +303,7 @@
         self._drop_old_reports(now_seconds)
 
     def load_report(self, now_seconds: float) -> EngineReport | None:
-        """Return the measurement of a lag ago; None when none is that old."""
+        """Return the load as of ``load_lag_seconds`` ago; None if none is that old."""
         self._drop_old_reports(now_seconds)
         if not self._reports:
             return None
@@ -323,5 +323,5 @@
         return self.cache.published(after, now_seconds)
 
     def holds(self, salt: str, digest: PrefixDigest) -> bool:
-        """Tell whether a level is cached; for audits."""
+        """Return whether a level is cached; for audits."""
         return self.cache.holds(salt, digest)
--- a/lycheepost/standin/engineorders.py
+++ b/lycheepost/standin/engineorders.py
@@ -1,4 +1,4 @@
-"""What operators' orders have made of a stand-in engine."""
+"""State of a stand-in engine that operators' orders change."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,24 +16,24 @@
 
 
 class EngineOrders:
-    """The desired state of one engine and how far it has got there.
+    """Accepts the orders for one engine and executes them.
 
     Args:
-        settings: What the engine is at its start.
-        on_new_weights: Called when other weights are in place.
+        settings: Initial state of the engine.
+        on_new_weights: Called after other weights were loaded.
     """
 
     def __init__(
         self, settings: EngineStandinSettings, on_new_weights: Callable[[], None]
     ) -> None:
-        self.taken: list[EngineOrder] = []
+        self.accepted: list[EngineOrder] = []
         self._settings = settings
         self._on_new_weights = on_new_weights
         self._task: asyncio.Task[None] | None = None
         self.reset()
 
     def reset(self) -> None:
-        """Forget all orders, as a restart does."""
+        """Return to the initial state, as after a restart."""
         self.stop()
         self.state = EngineHealthState.SERVING
         self.model = self._settings.model
@@ -44,12 +44,12 @@
         self.fencing_number = 0
 
     def stop(self) -> None:
-        """Stop carrying an order out."""
+        """Stop executing the current order."""
         if self._task is not None:
             self._task.cancel()
 
     async def post(self, request: web.Request) -> web.StreamResponse:
-        """Take one order, or say why not."""
+        """Accept one order, or reject it with a reason."""
         converted = convert_document(
             "engine", await request.json(), EngineOrder, "EngineOrder"
         )
@@ -62,11 +62,11 @@
         self.fencing_number = max(self.fencing_number, order.fencing_number)
         if order.desired_version < self.desired_version:
             return self._answer_order(409, "old desired version")
-        self.taken.append(order)
+        self.accepted.append(order)
         self.desired_version = order.desired_version
         if self._task is not None:
             self._task.cancel()
-        self._task = asyncio.create_task(self._carry_out(order))
+        self._task = asyncio.create_task(self._execute(order))
         return self._answer_order(200, "")
 
     def _answer_order(self, status: int, reason: str) -> web.Response:
@@ -82,7 +82,7 @@
             content_type="application/json",
         )
 
-    async def _carry_out(self, order: EngineOrder) -> None:
+    async def _execute(self, order: EngineOrder) -> None:
         self.role = order.role or self.role
         self.adapter = order.adapter or self.adapter
         weights = order.weights_version or self.weights_version
@@ -90,7 +90,7 @@
         if (weights, model) != (self.weights_version, self.model):
             self.state = EngineHealthState.LOADING
             await asyncio.sleep(self._settings.load_weights_seconds)
-            # Blocks computed with the old weights are worth nothing to the new.
+            # Cached blocks of the old weights are invalid for the new ones.
             self._on_new_weights()
             self.weights_version = weights
             self.model = model
--- a/lycheepost/standin/enginerecords.py
+++ b/lycheepost/standin/enginerecords.py
@@ -1,4 +1,4 @@
-"""Records that enter and leave the engine model, and its speeds and sizes."""
+"""Requests, events, reports and settings of the engine model."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,28 +9,29 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSettings:
-    """Speeds and sizes of one engine, each with its reason.
+    """Speeds and sizes of one engine.
 
     Attributes:
         prefill_seconds_per_token: 20,000 tokens/s: a 70B model on the four
             accelerators of a server (48,000 accelerators in 12,000 servers).
         iteration_seconds: Fixed part of an iteration: reading the weights once
-            from memory, 70 GB over 4 x 2 TB/s and kernel launches.
-        sequence_seconds: Reading one running request's KV per iteration. At
-            the 57 running that 17M tokens/s over 12,000 servers need, an
-            iteration takes 12 + 57 x 0.4 = 35 ms, inside the 62 ms allowed.
-        chunk_tokens: Prompt tokens prefilled per iteration, the usual chunk
-            size: 2,048 tokens add 102 ms, so a smaller one keeps the gap between
-            tokens inside 62 ms.
-        max_running: Requests in a batch; KV memory allows no more.
-        cache_tokens: Cached prefix tokens kept beside the running requests;
-            small enough that blocks leave within tens of seconds at load.
-        load_lag_seconds: A load report is taken this long before it is read.
-        event_lag_seconds: A cache event is published this long after it.
+            from memory (70 GB at 4 x 2 TB/s) and kernel launches.
+        sequence_seconds: Time to read the KV of one running request per iteration.
+            17M tokens/s on 12,000 servers need 57 running requests each, so that an
+            iteration takes 12 + 57 x 0.4 = 35 ms, within the 62 ms allowed.
+        chunk_tokens: Prompt tokens prefilled per iteration. The usual chunk of
+            2,048 tokens adds 102 ms; a smaller one keeps the gap between tokens
+            within 62 ms.
+        max_running: Requests in a batch, limited by KV memory.
+        cache_tokens: Cached prefix tokens beside those of running requests; small
+            enough that blocks are evicted within tens of seconds under load.
+        load_lag_seconds: Age of a load report when it is read.
+        event_lag_seconds: Delay from a cache event to its publication.
         event_loss_share: Share of cache events that are lost.
-        slowness: All work takes this many times as long.
-        most_iterations: Equal iterations run as one event at most; 1 shows
-            each token when it comes, many save events in virtual time.
+        slowness: Factor on the duration of all work.
+        max_batched_iterations: Maximum number of equal iterations simulated as one
+            event. 1 shows each token when it is generated; more save events in
+            virtual time.
     """
 
     prefill_seconds_per_token: float = 50e-6
@@ -43,17 +44,17 @@
     event_lag_seconds: float = 0.7
     event_loss_share: float = 0.02
     slowness: float = 1.0
-    most_iterations: int = 1_000_000
+    max_batched_iterations: int = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class EngineRequest:
-    """One request as the engine gets it.
+    """One request to the engine.
 
     Attributes:
-        salt: Cached blocks are shared within one salt only.
-        priority: Lower goes first.
-        kills: Whether prefilling it crashes the engine.
+        salt: Cached blocks are shared only between requests of the same salt.
+        priority: Requests with a lower value run first.
+        crashes_engine: Whether prefilling it crashes the engine.
     """
 
     request: RequestId
@@ -62,11 +63,11 @@
     prompt_tokens: int
     output_tokens: int
     priority: int = 0
-    kills: bool = False
+    crashes_engine: bool = False
 
 
 class EngineEventKind(Enum):
-    """What happened to a request."""
+    """Kind of a request's event."""
 
     FIRST_TOKEN = "first_token"
     FINISHED = "finished"
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineEvent:
-    """Something that happened at ``at_seconds``.
+    """An event of one request.
 
     Attributes:
         cached_tokens: Prompt tokens reused from the cache.
--- a/lycheepost/standin/enginerun.py
+++ b/lycheepost/standin/enginerun.py
@@ -1,7 +1,7 @@
-"""One answer that the stand-in engine generates: its events and its records.
+"""Generates one answer of the stand-in engine with its events and its record.
 
-A run goes on apart from the connections that read it, so that a reader that
-lost its connection can come back and read on from any event.
+A run is independent of the connections that read it, so that a client that lost its
+connection can resume from any event.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class RunState(Enum):
-    """How far a run has come."""
+    """State of a run."""
 
     RUNNING = "running"
     COMPLETE = "complete"
@@ -27,13 +27,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RunRequest:
-    """What a run needs of its HTTP request.
+    """The fields of an HTTP request that a run needs.
 
     Attributes:
-        is_chat: A chat, otherwise a text completion.
-        n_tokens: Tokens to generate.
-        is_limited: The caller's limit, not the answer's own end, sets n_tokens.
-        wants_usage_chunk: The caller asked for a chunk of its own with usage.
+        is_chat: Whether it is a chat; otherwise it is a text completion.
+        n_tokens: Number of tokens to generate.
+        is_limited: Whether ``n_tokens`` is the caller's limit rather than the default.
+        wants_usage_chunk: Whether the caller asked for a separate usage chunk.
     """
 
     request: str
@@ -46,17 +46,17 @@
 
     @property
     def answer_id(self) -> str:
-        """Return the id that every chunk carries."""
+        """Return the answer's id, which every chunk carries."""
         return f"{'chatcmpl' if self.is_chat else 'cmpl'}-{self.request}"
 
 
 @dataclass
 class RunRecord:
-    """What an audit may know of one run.
+    """Record of one run, for audits.
 
     Attributes:
         prompt_hash: Hash of the prompt text.
-        n_tokens: Tokens generated so far.
+        n_tokens: Number of tokens generated so far.
     """
 
     request: str
@@ -69,7 +69,7 @@
 
 
 class EngineRun:
-    """One answer in the making."""
+    """One answer that is being generated."""
 
     def __init__(
         self,
@@ -90,18 +90,18 @@
 
     @property
     def is_done(self) -> bool:
-        """Return whether no further event will come."""
+        """Return whether the run has ended, so that no further event follows."""
         return self.record.state is not RunState.RUNNING
 
     def end(self, state: RunState) -> None:
-        """Stop the run, unless it has ended by itself."""
+        """Stop the run unless it has already ended."""
         if not self.is_done:
             self.record.state = state
             self._task.cancel()
             self._wake()
 
     async def wait_event(self, index: int) -> bool:
-        """Wait for an event; return False when the run ends without it."""
+        """Wait for an event; return False if the run ends before it."""
         while len(self.events) <= index and not self.is_done:
             changed = self._changed
             await changed.wait()
@@ -123,8 +123,8 @@
             "prompt_tokens_details": {"cached_tokens": record.cached_tokens},
         }
 
-    def whole_answer(self) -> dict[str, Any]:
-        """Return the body of an answer that is not streamed."""
+    def complete_answer(self) -> dict[str, Any]:
+        """Return the body of a non-streamed answer."""
         request = self.request
         choice: dict[str, Any] = {"index": 0, "finish_reason": self._finish_reason()}
         if request.is_chat:
@@ -212,7 +212,7 @@
 def make_run_request(
     request: str, is_chat: bool, body: dict[str, Any], max_tokens: int
 ) -> RunRequest:
-    """Read one request body.
+    """Parse one request body.
 
     Args:
         request: The request id.
@@ -234,20 +234,20 @@
         messages = body["messages"]
         is_continued = bool(body.get("continue_final_message"))
         prompt_text = answers.chat_prompt_text(messages, is_continued)
-        natural = answers.DEFAULT_ANSWER_TOKENS
+        default_tokens = answers.DEFAULT_ANSWER_TOKENS
         if is_continued:
             delivered = answers.content_text(messages[-1].get("content"))
-            natural = max(1, natural - len(delivered.split()))
+            default_tokens = max(1, default_tokens - len(delivered.split()))
     else:
         prompt_text = answers.completion_prompt_text(body["prompt"])
-        natural = answers.DEFAULT_COMPLETION_TOKENS
+        default_tokens = answers.DEFAULT_COMPLETION_TOKENS
     options = body.get("stream_options") or {}
     return RunRequest(
         request=request,
         is_chat=is_chat,
         model=str(body.get("model", "")),
         prompt_text=prompt_text,
-        n_tokens=min(int(asked or natural), max_tokens),
+        n_tokens=min(int(asked or default_tokens), max_tokens),
         is_limited=asked is not None,
         wants_usage_chunk=bool(options.get("include_usage")),
     )
--- a/lycheepost/standin/enginesettings.py
+++ b/lycheepost/standin/enginesettings.py
@@ -1,4 +1,4 @@
-"""What one stand-in engine is."""
+"""Settings of a stand-in engine."""
 
 from dataclasses import dataclass
 
@@ -8,18 +8,20 @@
 
 @dataclass(frozen=True)
 class EngineStandinSettings:
-    """What one stand-in engine is.
+    """Settings of one stand-in engine.
 
     Attributes:
-        name: For logs only.
-        port: 0 takes a free port, which a restart after a crash keeps.
-        checks_fencing: Refuse orders whose fencing number is below one seen.
-        restart_seconds: Time from a crash to the empty engine's return.
-        resume_grace_seconds: How long a run goes on without a reader.
-        load_lag_seconds: Age of the load that is reported.
+        name: Used in logs only.
+        port: 0 selects a free port, which is kept over restarts.
+        checks_fencing: Whether to reject orders with a fencing number below the
+            highest one received.
+        restart_seconds: Time from a crash to the restart of the empty engine.
+        resume_grace_seconds: Time that a run continues without a reader.
+        load_lag_seconds: Age of the reported load.
         load_weights_seconds: Time to load other weights after an order.
-        max_tokens: Longest answer.
-        crash_text: A prompt with this text crashes the engine; empty for none.
+        max_tokens: Maximum length of an answer.
+        crash_text: A prompt that contains this text crashes the engine; empty for
+            none.
     """
 
     name: str = "engine"
--- a/lycheepost/standin/enginetiming.py
+++ b/lycheepost/standin/enginetiming.py
@@ -1,8 +1,8 @@
-"""Runs the engine model in real time for the stand-in engine's HTTP face.
+"""Runs the engine model in real time for the stand-in engine's HTTP server.
 
-``standin.enginemodel`` decides when tokens come, what is cached and what is
-reported; it is the model that the policy bench measures in virtual time. Here a
-task advances it with a clock and wakes the answers whose tokens have come.
+``standin.enginemodel`` determines when tokens are generated, what is cached and what
+is reported; the policy bench runs the same model in virtual time. Here a task
+advances it with a clock and wakes the answers that wait for tokens.
 """
 
 import asyncio
@@ -21,8 +21,8 @@
     EngineSettings,
 )
 
-_KEPT_LEVELS = 20_000
-"""Levels whose lengths are remembered for exports of kept KV."""
+_MAX_KEPT_LEVELS = 20_000
+"""Prefix levels whose lengths are kept for KV exports."""
 
 STANDIN_SPEEDS = EngineSettings(
     prefill_seconds_per_token=20e-6,
@@ -35,18 +35,18 @@
     event_lag_seconds=0.2,
     event_loss_share=0.0,
 )
-"""Some ten times as fast as a real engine, so that a demo of seconds shows hours
-of traffic; the load's lag is added by the HTTP face."""
+"""About ten times as fast as a real engine, so that a demo of seconds shows hours of
+traffic. The HTTP server adds the lag of load reports."""
 
 
 def make_speeds(**changes: float) -> EngineSettings:
-    """Return the stand-ins' speeds with some fields changed."""
+    """Return the stand-ins' speeds with some fields replaced."""
     return replace(STANDIN_SPEEDS, **changes)  # type: ignore[arg-type]
 
 
 @dataclass(frozen=True, slots=True)
 class EngineCounts:
-    """What an engine reports of its load."""
+    """The load that an engine reports."""
 
     n_running: int = 0
     n_queued: int = 0
@@ -56,10 +56,10 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """How far the model has come with one answer.
+    """Progress of the model with one answer.
 
     Attributes:
-        n_taken: Tokens handed to the HTTP face.
+        n_taken: Tokens passed to the HTTP server.
     """
 
     work: EngineRequest
@@ -72,9 +72,11 @@
     """One incarnation of an engine; a restarted engine gets a new one."""
 
     def __init__(self, name: str, settings: EngineSettings, clock: Clock) -> None:
-        # One event an iteration, so that each token is seen when it comes.
-        shown = replace(settings, most_iterations=1, load_lag_seconds=0.0)
-        self._model = Engine(name, shown, seed=1)
+        # One iteration per event, so that each token is visible when generated.
+        model_settings = replace(
+            settings, max_batched_iterations=1, load_lag_seconds=0.0
+        )
+        self._model = Engine(name, model_settings, seed=1)
         self._clock = clock
         self._answers: dict[RequestId, _Progress] = {}
         self._end_tokens: OrderedDict[tuple[str, PrefixDigest], int] = OrderedDict()
@@ -83,7 +85,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def close(self) -> None:
-        """Stop for good; nobody may wait for a token any more."""
+        """Stop permanently; no caller may wait for a token afterwards."""
         if self._task is not None:
             self._task.cancel()
 
@@ -91,13 +93,13 @@
         """Wait for the first token; return the prompt tokens found cached."""
         progress = _Progress(work, asyncio.get_running_loop().create_future())
         self._answers[work.request] = progress
-        self._take(self._model.submit(work, self._clock.now_seconds()))
+        self._handle_events(self._model.submit(work, self._clock.now_seconds()))
         self._submitted.set()
         if self._task is None or self._task.done():
             self._task = asyncio.create_task(self._run())
         cached_tokens = await progress.first
         for level in work.levels:
-            self._remember(work.salt, level)
+            self._remember_length(work.salt, level)
         return cached_tokens
 
     async def next_token(self, work: EngineRequest) -> None:
@@ -111,14 +113,14 @@
         progress.n_taken += 1
 
     def leave(self, work: EngineRequest) -> None:
-        """Free what the request holds; called once, whatever happened."""
+        """Release the request's state; called once per run, however it ended."""
         progress = self._answers.pop(work.request, None)
         if progress is not None and not progress.is_finished:
             now_seconds = self._clock.now_seconds()
-            self._take(self._model.cancel(work.request, now_seconds))
+            self._handle_events(self._model.cancel(work.request, now_seconds))
 
     def counts(self) -> EngineCounts:
-        """Return the load right now."""
+        """Return the current load."""
         report = self._model.load_report(self._clock.now_seconds())
         if report is None:
             return EngineCounts()
@@ -130,13 +132,13 @@
         )
 
     def events_after(self, sequence: int) -> list[CacheEvent]:
-        """Return cache events that are old enough to be told."""
+        """Return the published cache events after a sequence number."""
         return self._model.cache_events(sequence, self._clock.now_seconds())
 
     def import_prefix(self, salt: str, level: PrefixLevel) -> None:
-        """Put a prefix into the cache, as an import of kept KV does."""
+        """Store a prefix in the cache, as a KV import does."""
         self._model.cache.store(salt, (level,), self._clock.now_seconds())
-        self._remember(salt, level)
+        self._remember_length(salt, level)
 
     def holds(self, salt: str, digest: PrefixDigest) -> PrefixLevel | None:
         """Return the cached prefix level of this digest."""
@@ -145,19 +147,19 @@
             return None
         return PrefixLevel(digest, end_tokens)
 
-    def _remember(self, salt: str, level: PrefixLevel) -> None:
+    def _remember_length(self, salt: str, level: PrefixLevel) -> None:
         self._end_tokens[salt, level.digest] = level.end_tokens
         self._end_tokens.move_to_end((salt, level.digest))
-        while len(self._end_tokens) > _KEPT_LEVELS:
+        while len(self._end_tokens) > _MAX_KEPT_LEVELS:
             self._end_tokens.popitem(last=False)
 
     async def _run(self) -> None:
-        """Advance the model while it has anything to do."""
+        """Advance the model while it has work."""
         while (due_seconds := self._model.next_event_seconds()) is not None:
             self._submitted.clear()
             delay = due_seconds - self._clock.now_seconds()
             if delay > 0:
-                # A submitted request may end the iteration under way sooner.
+                # A submitted request may end the current batch of iterations early.
                 try:
                     async with asyncio.timeout(delay):
                         await self._submitted.wait()
@@ -165,9 +167,9 @@
                     pass
             else:
                 await asyncio.sleep(0)
-            self._take(self._model.advance(self._clock.now_seconds()))
+            self._handle_events(self._model.advance(self._clock.now_seconds()))
 
-    def _take(self, events: list[EngineEvent]) -> None:
+    def _handle_events(self, events: list[EngineEvent]) -> None:
         for event in events:
             progress = self._answers.get(event.request)
             if progress is None:
@@ -185,5 +187,5 @@
 def make_engine_timing(
     name: str, settings: EngineSettings, clock: Clock
 ) -> EngineTiming:
-    """Return the timing of an engine that has just started empty."""
+    """Return the timing of an engine that has started empty."""
     return EngineTiming(name, settings, clock)
--- a/lycheepost/standin/enginewire.py
+++ b/lycheepost/standin/enginewire.py
@@ -1,4 +1,4 @@
-"""Small pieces of the stand-in engine's HTTP interface."""
+"""Helpers for the stand-in engine's HTTP interface."""
 
 import json
 
@@ -9,8 +9,8 @@
 from lycheepost.decide.records import PrefixLevel
 
 
-def cross_event(data: bytes) -> bytes:
-    """Return an event with another request's id and words in place of its own."""
+def substitute_event(data: bytes) -> bytes:
+    """Replace the id and the words of an event by those of another request."""
     head, separator, body = data.partition(b"data: ")
     if body.strip() == b"[DONE]":
         return data
@@ -26,7 +26,7 @@
 
 
 def refuse(status: int, reason: str, retry_after: int | None = None) -> web.Response:
-    """Return the error answer of an engine."""
+    """Return an engine's error response."""
     headers = {} if retry_after is None else {"Retry-After": str(retry_after)}
     body = {"error": {"message": reason, "type": "engine_error", "code": status}}
     return web.json_response(body, status=status, headers=headers)
@@ -35,7 +35,7 @@
 def parse_levels(
     header: str, prompt_text: str, prompt_tokens: int
 ) -> tuple[PrefixLevel, ...]:
-    """Read ``X-Prefix-Digests``; without it the whole prompt is one level."""
+    """Parse ``X-Prefix-Digests``; without it the whole prompt is one level."""
     if not header:
         digest = PrefixDigest(hash_bytes(prompt_text.encode()))
         return (PrefixLevel(digest, prompt_tokens),)
--- a/lycheepost/standin/service.py
+++ b/lycheepost/standin/service.py
@@ -1,7 +1,7 @@
-"""The stand-in plain service: takes orders over HTTP and remembers them all.
+"""Stand-in plain service that accepts orders over HTTP and records them.
 
-Every arrival of an order that is carried out is recorded with its body, so that
-an audit can count orders that ran twice.
+Every order that is executed is recorded with its body, so that an audit can count
+orders that ran twice.
 """
 
 import asyncio
@@ -21,16 +21,16 @@
 )
 from lycheepost.standin.webserver import StandinServer
 
-_NEVER_SECONDS = 3600.0
+_HANG_SECONDS = 3600.0
 
 
 @dataclass(frozen=True)
 class ServiceStandinSettings:
-    """What one stand-in service is.
+    """Settings of one stand-in service.
 
     Attributes:
-        run_seconds: Time to carry out one order.
-        restart_seconds: Time from a crash to the return; orders are kept.
+        run_seconds: Time to execute one order.
+        restart_seconds: Time from a crash to the restart; orders are kept.
     """
 
     name: str = "service"
@@ -41,12 +41,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RanOrder:
-    """One order that was carried out.
+class RecordedOrder:
+    """One order that was accepted for execution.
 
     Attributes:
         order_number: Counts from 1; the order is at ``/orders/{number}``.
-        body: The body exactly as it arrived.
+        body: The body exactly as received.
     """
 
     order_number: int
@@ -56,12 +56,12 @@
 
 
 class ServiceStandin:
-    """One plain service with its HTTP face."""
+    """One plain service with its HTTP server."""
 
     def __init__(self, settings: ServiceStandinSettings) -> None:
         self.settings = settings
         self.faults: FaultPlan[ServiceFault] = FaultPlan()
-        self.orders: list[RanOrder] = []
+        self.orders: list[RecordedOrder] = []
         self._server = StandinServer(self._make_app, settings.host, settings.port)
         self._restart_task: asyncio.Task[None] | None = None
 
@@ -75,19 +75,19 @@
         return await self._server.start()
 
     async def stop(self) -> None:
-        """Cut all connections and stop."""
+        """Abort all connections and stop."""
         if self._restart_task is not None:
             self._restart_task.cancel()
         await self._server.stop()
 
     def crash(self) -> None:
-        """Cut all connections and come back after ``restart_seconds``."""
-        self._server.cut_connections()
+        """Abort all connections and restart after ``restart_seconds``."""
+        self._server.abort_connections()
         if self._restart_task is None or self._restart_task.done():
             self._restart_task = asyncio.create_task(self._restart())
 
     def freeze(self) -> None:
-        """Let open connections go silent for good; new ones work."""
+        """Stall the open connections permanently; new ones work."""
         self._server.freeze_connections()
 
     async def _restart(self) -> None:
@@ -110,23 +110,23 @@
                 return web.json_response({"error": "refused"}, status=status)
             case CrashBeforeRun():
                 self.crash()
-                await asyncio.sleep(_NEVER_SECONDS)
+                await asyncio.sleep(_HANG_SECONDS)
             case SlowCall(seconds=seconds):
                 await asyncio.sleep(seconds)
         order = self._record(request, body)
-        # Once recorded the order is carried out whatever becomes of the caller.
+        # A recorded order is executed even if the caller disconnects.
         await asyncio.sleep(self.settings.run_seconds)
         match fault:
             case CrashAfterRun():
                 self.crash()
-                await asyncio.sleep(_NEVER_SECONDS)
+                await asyncio.sleep(_HANG_SECONDS)
             case LostAnswer():
-                self._server.cut_connection(request)
-        await self._server.gate(request)
+                self._server.abort_connection(request)
+        await self._server.block_if_frozen(request)
         return web.json_response(_describe(order), status=201)
 
-    def _record(self, request: web.Request, body: bytes) -> RanOrder:
-        order = RanOrder(
+    def _record(self, request: web.Request, body: bytes) -> RecordedOrder:
+        order = RecordedOrder(
             order_number=len(self.orders) + 1,
             body=body,
             request=request.headers.get("X-Request-Id", ""),
@@ -136,18 +136,18 @@
         return order
 
     async def _get_order(self, request: web.Request) -> web.StreamResponse:
-        await self._server.gate(request)
+        await self._server.block_if_frozen(request)
         number = request.match_info["number"]
         if not number.isdecimal() or not 1 <= int(number) <= len(self.orders):
             return web.json_response({"error": "no such order"}, status=404)
         return web.json_response(_describe(self.orders[int(number) - 1]))
 
     async def _get_health(self, request: web.Request) -> web.StreamResponse:
-        await self._server.gate(request)
+        await self._server.block_if_frozen(request)
         return web.json_response({"state": "serving"})
 
 
-def _describe(order: RanOrder) -> dict[str, object]:
+def _describe(order: RecordedOrder) -> dict[str, object]:
     """Return the ticket of an order; a JSON body is shown as JSON."""
     try:
         shown = json.loads(order.body)
@@ -157,5 +157,5 @@
 
 
 def make_service(settings: ServiceStandinSettings) -> ServiceStandin:
-    """Return a service that is not yet started."""
+    """Return a service that has not been started."""
     return ServiceStandin(settings)
--- a/lycheepost/standin/webserver.py
+++ b/lycheepost/standin/webserver.py
@@ -1,4 +1,4 @@
-"""An aiohttp server for stand-ins that can cut and freeze its connections."""
+"""An aiohttp server for stand-ins that can abort and freeze its connections."""
 
 import asyncio
 import socket
@@ -10,11 +10,11 @@
 
 from lycheepost.standin.ports import port_of, reserve_port
 
-_NEVER_SECONDS = 3600.0
+_HANG_SECONDS = 3600.0
 
 
 class StandinServer:
-    """A server on one port that it keeps over restarts."""
+    """A server that keeps its port over restarts."""
 
     def __init__(
         self, make_app: Callable[[], web.Application], host: str, port: int
@@ -22,7 +22,7 @@
         self._make_app = make_app
         self._host = host
         self._port = port
-        self._held_port: socket.socket | None = None
+        self._reserved_socket: socket.socket | None = None
         self._runner: web.AppRunner | None = None
         self._frozen: WeakSet[Any] = WeakSet()
 
@@ -33,8 +33,8 @@
 
     async def start(self) -> str:
         """Listen and return the base address."""
-        # A handler is cancelled when its client leaves, as engines notice a
-        # closed connection while they compute.
+        # A handler is cancelled when its client disconnects, since real engines
+        # notice a closed connection while they compute.
         self._runner = web.AppRunner(
             self._make_app(),
             handler_cancellation=True,
@@ -43,41 +43,41 @@
         )
         await self._runner.setup()
         if self._port == 0:
-            self._held_port = reserve_port(self._host)
-            self._port = port_of(self._held_port)
+            self._reserved_socket = reserve_port(self._host)
+            self._port = port_of(self._reserved_socket)
         site = web.TCPSite(self._runner, self._host, self._port, shutdown_timeout=0.0)
         await site.start()
         return self.url
 
     async def stop(self) -> None:
-        """Cut all connections and refuse new ones."""
+        """Abort all connections and refuse new ones."""
         if self._runner is not None:
             runner = self._runner
             self._runner = None
-            _cut(runner)
+            _abort_connections(runner)
             await runner.cleanup()
 
-    def cut_connections(self) -> None:
-        """Reset every open connection at once."""
+    def abort_connections(self) -> None:
+        """Reset all open connections immediately."""
         if self._runner is not None:
-            _cut(self._runner)
+            _abort_connections(self._runner)
 
-    def cut_connection(self, request: web.Request) -> None:
+    def abort_connection(self, request: web.Request) -> None:
         """Reset the connection of one request."""
         transport: Any = request.transport
         if transport is not None:
             transport.abort()
 
     def freeze_connections(self) -> None:
-        """Read and write nothing more on the connections that are open now."""
+        """Stop reading and writing on the connections that are currently open."""
         for transport in _transports(self._runner):
             transport.pause_reading()
             self._frozen.add(transport)
 
-    async def gate(self, request: web.Request) -> None:
-        """Pass at once, or never when the request's connection is frozen."""
+    async def block_if_frozen(self, request: web.Request) -> None:
+        """Return immediately, or never if the request's connection is frozen."""
         if request.transport in self._frozen:
-            await asyncio.sleep(_NEVER_SECONDS)
+            await asyncio.sleep(_HANG_SECONDS)
 
 
 def _transports(runner: web.AppRunner | None) -> list[Any]:
@@ -87,6 +87,6 @@
     return [transport for transport in found if transport is not None]
 
 
-def _cut(runner: web.AppRunner) -> None:
+def _abort_connections(runner: web.AppRunner) -> None:
     for transport in _transports(runner):
         transport.abort()
