--- a/lycheepost/standin/__init__.py
+++ b/lycheepost/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small models of the systems that lycheepost talks to."""
+"""Stand-ins: small models of the systems that lycheepost talks to."""
--- a/lycheepost/standin/faults.py
+++ b/lycheepost/standin/faults.py
@@ -1,7 +1,7 @@
-"""Faults that a test or a demo asks the stand-ins to show.
+"""Faults that tests and demos inject into the stand-ins.
 
-A fault is a record. It waits in a ``FaultPlan`` until a call comes that it is
-meant for, and is used up by it. The stand-ins ``match`` on the record.
+A fault is a record. It stays in a ``FaultPlan`` until a matching call arrives, which
+consumes it. The stand-ins ``match`` on the record.
 """
 
 from collections.abc import Callable
@@ -14,8 +14,8 @@
     """The answer ends after some events.
 
     Attributes:
-        is_clean: End the HTTP body properly, so that only the missing
-            ``[DONE]`` shows the loss; otherwise cut the connection.
+        is_clean: Whether to end the HTTP body regularly, so that only the missing
+            ``[DONE]`` shows the truncation; otherwise the connection is aborted.
     """
 
     after_events: int
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Silent:
-    """The connection stays open and nothing more comes over it."""
+    """The connection stays open, but no data follows."""
 
     after_events: int
 
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Skipped:
-    """One event is left out."""
+    """One event is omitted."""
 
     event: int
 
 
 @dataclass(frozen=True, slots=True)
 class Crossed:
-    """An event of another request's answer is sent in place of one event."""
+    """One event is replaced by an event of another request's answer."""
 
     event: int
 
@@ -62,19 +62,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowFirstByte:
-    """Nothing is sent for a while, then the answer comes as usual."""
+    """The answer starts late, then continues as usual."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class Swallowed:
-    """The request is read and neither run nor answered."""
+    """The request is read, but neither run nor answered."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The target says no without running the request."""
+    """The target rejects the request without running it."""
 
     status: int
     retry_after_seconds: int = 1
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashBeforeRun:
-    """A plain service cuts the connection before it runs the call."""
+    """A plain service aborts the connection before it runs the call."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LostAnswer:
-    """A plain service runs the call; its answer never arrives."""
+    """A plain service runs the call, but its answer is lost."""
 
 
 ServiceFault = SlowCall | CrashBeforeRun | CrashAfterRun | LostAnswer | Refused
@@ -131,7 +131,7 @@
 
 @dataclass
 class FaultPlan(Generic[F]):
-    """Faults waiting for the calls that they are meant for."""
+    """Faults that wait for matching calls."""
 
     _waiting: list[tuple[F, Callable[[str], bool]]] = field(default_factory=list)
 
@@ -139,23 +139,23 @@
         self,
         fault: F,
         n_calls: int = 1,
-        is_meant: Callable[[str], bool] = lambda text: True,
+        matches: Callable[[str], bool] = lambda text: True,
     ) -> None:
-        """Let the next ``n_calls`` calls whose text ``is_meant`` show a fault."""
-        self._waiting.extend([(fault, is_meant)] * n_calls)
+        """Apply a fault to the next ``n_calls`` calls whose text ``matches``."""
+        self._waiting.extend([(fault, matches)] * n_calls)
 
     def take(self, text: str) -> F | None:
-        """Return the fault of a call, if one waits for it, and use it up.
+        """Remove and return the first fault that matches a call.
 
         Args:
             text: The prompt or the order body of the call.
         """
-        for index, (fault, is_meant) in enumerate(self._waiting):
-            if is_meant(text):
+        for index, (fault, matches) in enumerate(self._waiting):
+            if matches(text):
                 del self._waiting[index]
                 return fault
         return None
 
     def clear(self) -> None:
-        """Forget all waiting faults."""
+        """Remove all waiting faults."""
         self._waiting.clear()
--- a/lycheepost/standin/meter.py
+++ b/lycheepost/standin/meter.py
@@ -1,4 +1,4 @@
-"""Count what a stand-in serves, in all and in its busiest second."""
+"""Counts the units that a stand-in serves, in total and in its busiest second."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -6,10 +6,10 @@
 
 @dataclass(slots=True)
 class Meter:
-    """Units served, by whole second of the service's clock.
+    """Counts units served in each second of the service's clock.
 
     Attributes:
-        limit_per_second: Most units in one second; more are throttled.
+        limit_per_second: Maximum units in one second; more are throttled.
     """
 
     limit_per_second: float
@@ -18,7 +18,7 @@
     by_second: Counter[int] = field(default_factory=Counter)
 
     def admit(self, n_units: int, now_seconds: float) -> bool:
-        """Count ``n_units``, or return False when they exceed the limit."""
+        """Count ``n_units``; return False if they exceed the limit."""
         second = int(now_seconds)
         if self.by_second[second] + n_units > self.limit_per_second:
             self.n_throttled += n_units
@@ -28,5 +28,5 @@
         return True
 
     def busiest_second(self) -> int:
-        """Return the units of the busiest second."""
+        """Return the number of units in the busiest second."""
         return max(self.by_second.values(), default=0)
--- a/lycheepost/standin/network.py
+++ b/lycheepost/standin/network.py
@@ -1,7 +1,7 @@
-"""A model of the links between daemons, in memory, for many daemons at once.
+"""In-memory model of the links between many daemons.
 
-``LinkModel`` has the shape of ``peers.transport.Transport``: the same exchange
-runs on it as on sockets, with delays, partitions and counted bytes.
+``LinkModel`` has the interface of ``peers.transport.Transport``, so that the peer
+exchange runs on it as on sockets, with delays, partitions and counted bytes.
 """
 
 import asyncio
@@ -13,19 +13,19 @@
 
 OnMessage = Callable[[DaemonId, bytes], None]
 
-_FRAME_BYTES = 100
-"""Counted for each message beside its payload: IP and TCP headers (52), the
-acknowledgement (its own 52 shared by two messages), ZMTP and CURVE framing."""
+_OVERHEAD_BYTES = 100
+"""Overhead of each message beside its payload: IP and TCP headers (52), the
+acknowledgement (another 52, shared by two messages), ZMTP and CURVE framing."""
 
 
 @dataclass
 class NetworkModel:
-    """All links and what is wrong with them.
+    """All links and their faults.
 
     Attributes:
-        delay_seconds: One way.
-        jitter_seconds: Added at random, up to this.
-        cut: Pairs of daemons between which nothing passes, in one direction.
+        delay_seconds: Delay in one direction.
+        jitter_seconds: Maximum random delay that is added.
+        cut: Pairs of sender and receiver whose messages are dropped.
     """
 
     delay_seconds: float = 0.001
@@ -38,24 +38,26 @@
         self._random = random.Random(self.seed)
 
     def isolate(self, daemon: DaemonId) -> None:
-        """Cut every link of one daemon, silently."""
+        """Drop all messages from and to one daemon, without an error."""
         for other in self.links:
             self.cut.add((daemon, other))
             self.cut.add((other, daemon))
 
     def heal(self) -> None:
-        """Let everything pass again."""
+        """Deliver all messages again."""
         self.cut.clear()
 
     def deliver(self, sender: DaemonId, receiver: DaemonId, data: bytes) -> None:
-        """Pass one message on after the delay, unless the link is cut."""
+        """Deliver one message after the delay, unless the link is cut."""
         if (sender, receiver) in self.cut:
             return
         delay_seconds = self.delay_seconds + self._random.random() * self.jitter_seconds
         loop = asyncio.get_running_loop()
-        loop.call_later(delay_seconds, self._arrive, sender, receiver, data)
+        loop.call_later(delay_seconds, self._receive_delayed, sender, receiver, data)
 
-    def _arrive(self, sender: DaemonId, receiver: DaemonId, data: bytes) -> None:
+    def _receive_delayed(
+        self, sender: DaemonId, receiver: DaemonId, data: bytes
+    ) -> None:
         link = self.links.get(receiver)
         if link is not None and link.is_open:
             link.receive(sender, data)
@@ -77,33 +79,33 @@
 
     @property
     def endpoint(self) -> str:
-        """Return where peers reach this daemon."""
+        """Return the endpoint at which peers reach this daemon."""
         return f"tcp://{self._daemon}"
 
     async def start(self, on_message: OnMessage) -> None:
-        """Begin to receive."""
+        """Start receiving."""
         self._on_message = on_message
         self.is_open = True
 
     async def stop(self) -> None:
-        """Cease to receive."""
+        """Stop receiving."""
         self.is_open = False
 
     def connect(self, daemon: DaemonId, endpoint: str) -> None:
         """Do nothing: every daemon reaches every other."""
 
     def disconnect(self, daemon: DaemonId) -> None:
-        """Do nothing: there is no connection."""
+        """Do nothing: the model has no connections."""
 
     def send(self, daemon: DaemonId, data: bytes) -> bool:
-        """Send one message; False when it was dropped."""
+        """Send one message; return False if it was dropped."""
         self.messages_out += 1
-        self.bytes_out += len(data) + _FRAME_BYTES
+        self.bytes_out += len(data) + _OVERHEAD_BYTES
         self._network.deliver(self._daemon, daemon, data)
         return True
 
     def receive(self, sender: DaemonId, data: bytes) -> None:
-        """Take one message from the network."""
-        self.bytes_in += len(data) + _FRAME_BYTES
+        """Receive one message from the network."""
+        self.bytes_in += len(data) + _OVERHEAD_BYTES
         if self._on_message is not None:
             self._on_message(sender, data)
--- a/lycheepost/standin/objects.py
+++ b/lycheepost/standin/objects.py
@@ -1,4 +1,4 @@
-"""A small model of the platform's object store, in memory and behind HTTP."""
+"""Model of the platform's object store, in memory and over HTTP."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 from lycheepost.standin.platformfaults import Faults
 
 MODEL_KEY: web.AppKey["ObjectModel"] = web.AppKey("model")
-_MOST_OBJECT_BYTES = 256 * 1024 * 1024
+_MAX_OBJECT_BYTES = 256 * 1024 * 1024
 
 
 @dataclass
@@ -23,7 +23,7 @@
 
     Attributes:
         clock: Clock of the meter.
-        reads: Gets and listings; counted without a limit.
+        reads: Counts gets and listings, without a limit.
     """
 
     clock: Clock = field(default_factory=SystemClock)
@@ -31,26 +31,26 @@
     faults: Faults = field(default_factory=Faults)
     reads: Meter = field(default_factory=lambda: Meter(float("inf")))
     n_puts: int = 0
-    _older: dict[str, bytes] = field(default_factory=dict)
+    _previous: dict[str, bytes] = field(default_factory=dict)
 
     async def get(self, name: str) -> Result[bytes, ObjectError]:
         """Return one object."""
-        if await self._refuses():
+        if await self._is_refused():
             return Failure(ObjectError("The object store is down."))
         self.reads.admit(1, self.clock.now_seconds())
         is_stale = self.faults.take("n_stale_reads")
-        data = (self._older if is_stale else self.objects).get(name)
+        data = (self._previous if is_stale else self.objects).get(name)
         if data is None:
             return Failure(ObjectMissing("No object has this name."))
         return Success(data)
 
     async def put(self, name: str, data: bytes) -> Result[None, ObjectError]:
         """Write or replace one object."""
-        if await self._refuses():
+        if await self._is_refused():
             return Failure(ObjectError("The object store is down."))
         self.n_puts += 1
         if name in self.objects:
-            self._older[name] = self.objects[name]
+            self._previous[name] = self.objects[name]
         self.objects[name] = data
         if self.faults.take("n_lost_answers"):
             return Failure(ObjectError("The answer was lost."))
@@ -58,7 +58,7 @@
 
     async def list_names(self, prefix: str) -> Result[tuple[str, ...], ObjectError]:
         """Return the names that start with ``prefix``."""
-        if await self._refuses():
+        if await self._is_refused():
             return Failure(ObjectError("The object store is down."))
         self.reads.admit(1, self.clock.now_seconds())
         names = tuple(sorted(name for name in self.objects if name.startswith(prefix)))
@@ -68,12 +68,12 @@
 
     async def delete(self, name: str) -> Result[None, ObjectError]:
         """Remove one object; removing a missing one succeeds."""
-        if await self._refuses():
+        if await self._is_refused():
             return Failure(ObjectError("The object store is down."))
         self.objects.pop(name, None)
         return Success(None)
 
-    async def _refuses(self) -> bool:
+    async def _is_refused(self) -> bool:
         if self.faults.refuses():
             return True
         if self.faults.delay_seconds > 0:
@@ -88,7 +88,7 @@
 
 def make_objects_app(model: ObjectModel) -> web.Application:
     """Return an aiohttp application that serves ``model``."""
-    app = web.Application(client_max_size=_MOST_OBJECT_BYTES)
+    app = web.Application(client_max_size=_MAX_OBJECT_BYTES)
     app[MODEL_KEY] = model
     app.router.add_get("/names", _handle_list)
     app.router.add_get("/objects/{name:.*}", _handle_get)
--- a/lycheepost/standin/platformfaults.py
+++ b/lycheepost/standin/platformfaults.py
@@ -1,8 +1,8 @@
-"""Faults that a stand-in of a platform service can be told to show.
+"""Faults that can be injected into a stand-in of a platform service.
 
-One mutable record per stand-in: tests, benches and the demo set its fields
-while it runs. Counted faults ("the next N calls") fall back to none by
-themselves, so that a scenario can provoke exactly one lost answer.
+Each stand-in has one mutable record, whose fields tests, benches and the demo set
+while it runs. Counted faults ("the next N calls") count down to zero, so that a
+scenario can cause exactly one lost answer.
 """
 
 from dataclasses import dataclass, fields
@@ -10,22 +10,22 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What goes wrong with a service.
+    """Faults of one service.
 
     Attributes:
         is_down: Refuse every call before it has any effect.
-        delay_seconds: Time each call takes before it has its effect.
-        answer_delay_seconds: Time each answer takes after the effect.
+        delay_seconds: Delay of each call before it takes effect.
+        answer_delay_seconds: Delay of each answer after the effect.
         n_refused: Refuse this many of the next calls.
         n_lost_answers: Lose this many of the next write answers after their
             effect.
         n_late_writes: Lose this many of the next write answers and let the
             write take effect only ``late_seconds`` later.
-        late_seconds: How late a late write takes effect.
+        late_seconds: Delay until a late write takes effect.
         n_stale_reads: Answer this many of the next reads from the state before
             each key's last write.
-        n_partial_lists: Cut this many of the next listings to their first half.
-        lag_seconds: How far a lagging list is behind.
+        n_partial_lists: Truncate this many of the next listings to their first half.
+        lag_seconds: Age of the state that a lagging list shows.
     """
 
     is_down: bool = False
@@ -45,7 +45,7 @@
             setattr(self, item.name, item.default)
 
     def take(self, name: str) -> bool:
-        """Use up one of the counted faults ``name``; False when none is left."""
+        """Consume one counted fault ``name``; return False if none is left."""
         left = getattr(self, name)
         if left <= 0:
             return False
--- a/lycheepost/standin/ports.py
+++ b/lycheepost/standin/ports.py
@@ -1,23 +1,24 @@
-"""Keeps the port of a server that stops and comes back on it."""
+"""Reserves the port of a server that stops and restarts on the same port."""
 
 import socket
 
 
 def reserve_port(host: str) -> socket.socket:
-    """Return a bound socket whose port others may listen on, but not connect from.
+    """Return a bound socket whose port can be listened on, but not connected from.
 
-    Outgoing connections of any process get their ports from the same range. One that
-    takes the port of a server which is down for a moment keeps it from coming back.
+    Outgoing connections of any process get their ports from the same range. Without
+    the reservation, one of them could take the port of a server that is down for a
+    moment, and the server could not restart.
 
     Args:
-        host: IP number that the server listens on.
+        host: IP address on which the server listens.
     """
-    held = socket.socket()
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    held.bind((host, 0))
-    return held
+    reserved = socket.socket()
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.bind((host, 0))
+    return reserved
 
 
-def port_of(held: socket.socket) -> int:
-    """Return the port that a socket holds."""
-    return int(held.getsockname()[1])
+def port_of(reserved: socket.socket) -> int:
+    """Return the port to which a socket is bound."""
+    return int(reserved.getsockname()[1])
--- a/lycheepost/standin/rowstore.py
+++ b/lycheepost/standin/rowstore.py
@@ -1,8 +1,8 @@
-"""A model of a store of rows that tells what has changed.
+"""Model of a row store with a change feed.
 
-Rows lie in named tables; one counter numbers all transactions. The newest part of
-the history is kept, so that a follower can ask for what came after a version.
-Without I/O; ``platform.models`` gives it a face.
+Rows are stored in named tables; one counter numbers all transactions. Recent changes
+are kept, so that a follower can ask for the changes after a version. The model does
+no I/O; ``platform.models`` serves it over HTTP.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRow:
-    """A row; ``value`` is None once it was removed."""
+    """One version of a row; ``value`` is None if it was removed."""
 
     table: str
     key: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowCondition:
-    """The row must have this version; 0 means that there is no such row."""
+    """Requires that a row has this version; 0 requires that it does not exist."""
 
     table: str
     key: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowChange:
-    """A row to write, or to remove with ``value`` None."""
+    """A row to write, or to remove if ``value`` is None."""
 
     table: str
     key: str
@@ -47,8 +47,8 @@
     """The rows, the history and the faults of one store.
 
     Attributes:
-        refused_hosts: Callers that get no answer but a refusal.
-        oldest_version: Changes up to it are no longer told.
+        refused_hosts: Hosts whose calls are refused.
+        oldest_version: Changes up to this version are no longer available.
     """
 
     faults: Faults = field(default_factory=Faults)
@@ -60,7 +60,7 @@
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def rows(self, table: str) -> list[StoredRow]:
-        """Return the rows of a table by key."""
+        """Return the rows of a table, ordered by key."""
         found = [row for (name, _), row in self._rows.items() if name == table]
         return sorted(found, key=lambda row: row.key.encode())
 
@@ -73,7 +73,7 @@
         return 0 if row is None else row.version
 
     def apply(self, changes: list[RowChange]) -> int:
-        """Write changes as one transaction and return its version."""
+        """Apply changes as one transaction and return its version."""
         self.version += 1
         for change in changes:
             row = StoredRow(change.table, change.key, change.value, self.version)
@@ -93,7 +93,7 @@
         return self.apply([RowChange(table, key, value)])
 
     def drop_history(self) -> None:
-        """Forget all changes so far."""
+        """Drop the history of all changes so far."""
         self._history.clear()
         self.oldest_version = self.version
 
@@ -106,7 +106,7 @@
     async def wait_changes(
         self, table: str, after: int, wait_seconds: float
     ) -> list[StoredRow]:
-        """Return the changes after a version as soon as there are some."""
+        """Wait for changes after a version; return none after ``wait_seconds``."""
         try:
             async with asyncio.timeout(wait_seconds):
                 while not (found := self.changes(table, after)):
--- a/lycheepost/standin/table.py
+++ b/lycheepost/standin/table.py
@@ -1,9 +1,9 @@
-"""A small model of the platform's transactional table service.
+"""Model of the platform's transactional table service.
 
 ``TableModel`` implements ``TablePort`` in memory, with rate limits and faults.
-``make_table_app`` puts the same model behind HTTP for daemons that speak to it
-over a socket. A read unit is one key read or one row scanned; a write unit is
-one transaction, however many rows it writes. Rows written are counted too.
+``make_table_app`` serves the same model over HTTP. A read unit is one key read or
+one row scanned; a write unit is one transaction, however many rows it writes. Rows
+written are counted separately.
 """
 
 import asyncio
@@ -32,8 +32,8 @@
 from lycheepost.standin.meter import Meter
 from lycheepost.standin.platformfaults import Faults
 
-_MOST_ROW_BYTES = 400_000
-"""Larger values are refused, as table services commonly do."""
+_MAX_ROW_BYTES = 400_000
+"""Larger values are rejected, as table services commonly do."""
 
 MODEL_KEY: web.AppKey["TableModel"] = web.AppKey("model")
 
@@ -48,7 +48,7 @@
     faults: Faults = field(default_factory=Faults)
     n_rows_written: int = 0
     rows: dict[str, Row] = field(default_factory=dict)
-    _older: dict[str, Row | None] = field(default_factory=dict)
+    _previous: dict[str, Row | None] = field(default_factory=dict)
     _last_version: int = ABSENT_VERSION
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
@@ -56,11 +56,11 @@
         self, keys: tuple[str, ...]
     ) -> Result[tuple[Row | None, ...], TableError]:
         """Return the rows of ``keys`` in order."""
-        refused = await self._enter(self.reads, max(1, len(keys)))
+        refused = await self._admit(self.reads, max(1, len(keys)))
         if refused is not None:
             return Failure(refused)
         if self.faults.take("n_stale_reads"):
-            found = tuple(self._older.get(key, self.rows.get(key)) for key in keys)
+            found = tuple(self._previous.get(key, self.rows.get(key)) for key in keys)
         else:
             found = tuple(self.rows.get(key) for key in keys)
         await self._wait(self.faults.answer_delay_seconds)
@@ -75,7 +75,7 @@
         chosen = names[start : start + limit]
         if self.faults.take("n_partial_lists"):
             chosen = chosen[: len(chosen) // 2]
-        refused = await self._enter(self.reads, max(1, len(chosen)))
+        refused = await self._admit(self.reads, max(1, len(chosen)))
         if refused is not None:
             return Failure(refused)
         found = tuple(self.rows[key] for key in chosen if key in self.rows)
@@ -84,8 +84,8 @@
         return Success(Page(found, None if is_last else chosen[-1]))
 
     async def commit(self, transaction: Transaction) -> Result[Committed, TableError]:
-        """Apply a transaction whole, or not at all."""
-        refused = await self._enter(self.writes, 1)
+        """Apply a transaction atomically."""
+        refused = await self._admit(self.writes, 1)
         if refused is not None:
             return Failure(refused)
         if any(_is_too_large(write) for write in transaction.writes):
@@ -99,7 +99,7 @@
             return Failure(OutcomeUnknown("The answer was lost."))
         return outcome
 
-    async def _enter(self, meter: Meter, n_units: int) -> TableError | None:
+    async def _admit(self, meter: Meter, n_units: int) -> TableError | None:
         if self.faults.refuses():
             return TableUnavailable("The table service is down.")
         if not meter.admit(n_units, self.clock.now_seconds()):
@@ -136,12 +136,12 @@
 
     def _write(self, write: Write) -> int:
         self.n_rows_written += 1
-        self._older[write.key] = self.rows.get(write.key)
+        self._previous[write.key] = self.rows.get(write.key)
         if write.value is None:
             self.rows.pop(write.key, None)
             return ABSENT_VERSION
-        # One counter for all keys: a key that was deleted and written again
-        # never shows an earlier version, so an old condition cannot hold.
+        # One counter for all keys: a key that is deleted and written again never
+        # gets an earlier version, so that an outdated condition cannot hold.
         self._last_version += 1
         self.rows[write.key] = Row(write.key, write.value, self._last_version)
         return self._last_version
@@ -152,7 +152,7 @@
     reads_per_second: float = 2000,
     writes_per_second: float = 300,
 ) -> TableModel:
-    """Return an empty table service with the platform's limits."""
+    """Return an empty table service with the platform's rate limits."""
     return TableModel(
         clock=clock or SystemClock(),
         reads=Meter(reads_per_second),
@@ -171,7 +171,7 @@
 
 
 def _is_too_large(write: Write) -> bool:
-    return write.value is not None and len(write.value) > _MOST_ROW_BYTES
+    return write.value is not None and len(write.value) > _MAX_ROW_BYTES
 
 
 async def _handle_read(request: web.Request) -> web.StreamResponse:
@@ -197,7 +197,7 @@
         case Success(value):
             return web.Response(body=msgspec.json.encode(value))
         case Failure(OutcomeUnknown()):
-            # The model lost the answer: the caller sees its connection break.
+            # The answer is lost: the caller sees an aborted connection.
             if request.transport is not None:
                 request.transport.abort()
             return web.Response(status=500)
--- a/lycheepost/standin/virtualtime.py
+++ b/lycheepost/standin/virtualtime.py
@@ -1,8 +1,8 @@
-"""An asyncio loop whose clock jumps to the next timer instead of waiting.
+"""An asyncio event loop whose clock jumps to the next timer instead of waiting.
 
-An hour of polling, leases and retries runs in a second, in the same order on
-every machine. Only in-memory models may run on it: a socket's answer would take
-real time while virtual time jumps ahead.
+An hour of polling, leases and retries runs in a second, in the same order on every
+machine. Only in-memory models may run on it: while a socket's answer takes real
+time, virtual time would jump ahead.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Returns at once and moves the clock by the time it was to wait."""
+    """Advances the clock by the requested timeout and returns immediately."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,13 +25,13 @@
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError("Every task waits for something that never comes.")
+            raise RuntimeError("Deadlock: every task waits, and no timer is set.")
         self.now_seconds += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """A loop in virtual time; it is also a ``core.clock.Clock``."""
+    """An event loop in virtual time that is also a ``core.clock.Clock``."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
@@ -51,7 +51,7 @@
 
 
 def run_virtual(main: Coroutine[Any, Any, T]) -> T:
-    """Run ``main`` to its end on a new loop in virtual time."""
+    """Run ``main`` to completion on a new loop in virtual time."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(main)
 
--- a/lycheepost/standin/vmlist.py
+++ b/lycheepost/standin/vmlist.py
@@ -1,4 +1,4 @@
-"""A small model of the platform's lagging VM list, in memory and behind HTTP."""
+"""Model of the platform's lagging VM list, in memory and over HTTP."""
 
 import asyncio
 from dataclasses import dataclass, field, replace
@@ -16,7 +16,7 @@
 
 @dataclass
 class VmListModel:
-    """The VMs as they are, shown as they were ``faults.lag_seconds`` ago."""
+    """The VM list, which shows its state of ``faults.lag_seconds`` ago."""
 
     clock: Clock
     faults: Faults = field(default_factory=Faults)
@@ -24,12 +24,12 @@
     _history: list[tuple[float, tuple[Vm, ...]]] = field(default_factory=list)
 
     def put(self, vm: Vm) -> None:
-        """Add a VM, or replace the one of the same name."""
+        """Add a VM or replace the one with the same name."""
         others = tuple(item for item in self.current() if item.name != vm.name)
         self._record((*others, vm))
 
     def remove(self, name: str) -> None:
-        """Forget a VM."""
+        """Remove a VM."""
         self._record(tuple(item for item in self.current() if item.name != name))
 
     def announce_leaving(self, name: str) -> None:
@@ -39,11 +39,11 @@
                 self.put(replace(vm, state=VmState.LEAVING))
 
     def current(self) -> tuple[Vm, ...]:
-        """Return the VMs as they are now, without lag."""
+        """Return the current VMs, without lag."""
         return self._history[-1][1] if self._history else ()
 
     async def list_vms(self) -> Result[tuple[Vm, ...], VmListError]:
-        """Return the list as it was known ``lag_seconds`` ago."""
+        """Return the list as of ``lag_seconds`` ago."""
         if self.faults.refuses():
             return Failure(VmListError("The VM list is down."))
         if self.faults.delay_seconds > 0:
--- a/lycheepost/standin/weightstore.py
+++ b/lycheepost/standin/weightstore.py
@@ -1,7 +1,7 @@
-"""A small model of the platform's rate-limited weight store.
+"""Model of the platform's rate-limited weight store.
 
-Targets read weights from it: ``load`` takes longer while more targets load at
-once than the store can feed.
+Targets read weights from it. ``load`` takes longer while more targets load at the
+same time than the store can serve at full speed.
 """
 
 import asyncio
@@ -21,19 +21,19 @@
 
 @dataclass
 class WeightStoreModel:
-    """The versions of all models and how many loads run at full speed.
+    """The weights versions of all models, with a shared read rate.
 
     Attributes:
-        full_speed_loads: Loads at once that the store feeds at full speed;
-            more share its rate.
-        most_loads: Most loads that ever ran at once.
+        full_speed_loads: Concurrent loads that the store serves at full speed; more
+            share its rate.
+        peak_concurrent_loads: Maximum number of concurrent loads so far.
     """
 
     full_speed_loads: int
     versions: dict[ModelId, list[WeightsInfo]] = field(default_factory=dict)
     faults: Faults = field(default_factory=Faults)
     n_loading: int = 0
-    most_loads: int = 0
+    peak_concurrent_loads: int = 0
 
     def put(self, info: WeightsInfo) -> None:
         """Add a version."""
@@ -52,7 +52,7 @@
     async def load(
         self, model: ModelId, version: WeightsVersion
     ) -> Result[WeightsInfo, WeightsError]:
-        """Read one version as a target does; the time depends on who else loads."""
+        """Read one version as a target does; concurrent loads slow each other down."""
         for info in self.versions.get(model, ()):
             if info.weights_version == version:
                 return await self._load(info)
@@ -60,7 +60,7 @@
 
     async def _load(self, info: WeightsInfo) -> Result[WeightsInfo, WeightsError]:
         self.n_loading += 1
-        self.most_loads = max(self.most_loads, self.n_loading)
+        self.peak_concurrent_loads = max(self.peak_concurrent_loads, self.n_loading)
         try:
             for _ in range(_LOAD_STEPS):
                 slowdown = max(1.0, self.n_loading / self.full_speed_loads)
