--- a/features/standin/engine.feature
+++ b/features/standin/engine.feature
@@ -1,11 +1,12 @@
 Feature: The stand-in engine behaves as the engines' interface says
 
   Scenario: An answer goes on wherever it is cut
-    When answers of many prompts are cut after any word and continued
+    When answers of many prompts are truncated after any word and continued
     Then each continuation is the rest of its answer
 
   Scenario Outline: Cached prefixes are found within one salt only
-    A letter's text must never be guessed from another customer's cache.
+    Guards against cache hits across salts, by which one customer could guess the text
+    of another.
 
     Given an engine with a cache of <cache> tokens
     When prompts run: "<first>" then "<second>"
@@ -21,7 +22,7 @@
 
   Scenario Outline: A stream can be cancelled, resumed and lost
     Given an engine with a cache of 1000 tokens
-    When a stream of 100 tokens is begun and <event>
+    When a stream of 100 tokens is started and <event>
     Then its run is "<state>"
 
     Examples:
@@ -34,7 +35,7 @@
   Scenario: Urgent work goes first where all slots are taken
     Given an engine that runs one request at a time
     When a request runs and ones of priority 2, 0 and 1 wait
-    Then they begin in the order 0, 1, 2
+    Then they start in the order 0, 1, 2
 
   Scenario: Kept KV moves to another engine of the same weights
     Given an engine with a cache of 1000 tokens
--- a/features/standin/environment.py
+++ b/features/standin/environment.py
@@ -1,4 +1,4 @@
-"""One event loop a scenario, with whatever the scenario has started on it."""
+"""Gives each scenario an event loop and stops what the scenario started on it."""
 
 import asyncio
 import contextlib
--- a/features/standin/steps/engine.py
+++ b/features/standin/steps/engine.py
@@ -1,4 +1,4 @@
-"""Steps on the stand-in engine."""
+"""Steps of engine.feature."""
 
 import asyncio
 import json
@@ -15,19 +15,19 @@
 from lycheepost.standin.enginetiming import make_speeds
 
 
-@when("answers of many prompts are cut after any word and continued")
-def when_cut(context):
+@when("answers of many prompts are truncated after any word and continued")
+def when_truncated(context):
     context.n_checked = 0
 
     @bounds(max_examples=200, derandomize=True, database=None)
     @prompts(strategies.text(min_size=1), strategies.integers(0, 12))
     def check(text, n):
         messages = [{"role": "user", "content": text}]
-        whole = answers.expected_words(answers.chat_prompt_text(messages), 12)
-        start = "".join(f" {word}" for word in whole[:n])
+        words = answers.expected_words(answers.chat_prompt_text(messages), 12)
+        start = "".join(f" {word}" for word in words[:n])
         messages.append({"role": "assistant", "content": start})
         continued = answers.chat_prompt_text(messages, is_continued=True)
-        assert answers.expected_words(continued, 12 - n) == whole[n:]
+        assert answers.expected_words(continued, 12 - n) == words[n:]
         rest = answers.expected_words(text + start, 4)
         assert (rest == answers.expected_words(text, 4)) == (not n)
         context.n_checked += 1
@@ -96,12 +96,12 @@
     assert context.cached == n, context.cached
 
 
-@when("a stream of 100 tokens is begun and {event}")
-def when_begun(context, event):
-    context.run(begin_stream(context.engine, event))
+@when("a stream of 100 tokens is started and {event}")
+def when_started(context, event):
+    context.run(read_stream(context.engine, event))
 
 
-async def begin_stream(engine, event):
+async def read_stream(engine, event):
     body = {"prompt": "p", "max_tokens": 100, "stream": True}
     url = f"{engine.url}/v1/completions"
     async with aiohttp.ClientSession() as session:
@@ -147,7 +147,7 @@
     context.order = context.run(run())
 
 
-@then("they begin in the order 0, 1, 2")
+@then("they start in the order 0, 1, 2")
 def then_priorities(context):
     assert context.order == [0, 1, 2], context.order
 
--- a/features/standin/steps/port_steps.py
+++ b/features/standin/steps/port_steps.py
@@ -23,16 +23,16 @@
     asyncio.run(start_and_stop())
 
 
-@when("somebody connects from its port to elsewhere, if that is possible")
+@when("an outgoing connection is opened from its port, if that is possible")
 def step_connects(context):
     port = int(context.url.rpartition(":")[2])
-    elsewhere = socket.create_server((HOST, 0))
+    other_server = socket.create_server((HOST, 0))
     outgoing = socket.socket()
-    context.add_cleanup(elsewhere.close)
+    context.add_cleanup(other_server.close)
     context.add_cleanup(outgoing.close)
     with contextlib.suppress(OSError):
         outgoing.bind((HOST, port))
-        outgoing.connect(elsewhere.getsockname())
+        outgoing.connect(other_server.getsockname())
 
 
 @then("the stand-in starts again on its port")
