--- a/lycheepost/loadgen/addresses.py
+++ b/lycheepost/loadgen/addresses.py
@@ -1,27 +1,26 @@
-"""What a caller knows of the system's addresses, and whom it asks next.
+"""A caller's list of the system's addresses.
 
-There is no balancer: a caller asks any address that it knows for the list to
-use, keeps the answer for as long as the answer says, and moves on to the next
-address when one does not take its connection.
+There is no load balancer. A caller asks any known address for the list of addresses,
+uses the list for as long as its answer says, and tries the next address when one
+does not accept its connection.
 """
 
 from dataclasses import dataclass, field
 
 import aiohttp
 
-_ADDRESS_SECONDS = 2.0
-"""A caller that waits longer for a list does better to ask the next address."""
+_ADDRESS_TIMEOUT_SECONDS = 2.0
+"""After this time the next address is more likely to return a list."""
 
 
 @dataclass
 class AddressBook:
-    """One customer's knowledge of the addresses.
+    """The addresses that one customer knows.
 
     Attributes:
-        seeds: Addresses from the caller's own settings, asked when all else
-            fails.
-        current: The last answer, best first.
-        valid_until_seconds: When it is asked again, on the loop's clock.
+        seeds: Addresses from the caller's settings, used as a fallback.
+        current: Addresses of the last list, best first.
+        valid_until_seconds: When the list is requested again, on the loop's clock.
     """
 
     seeds: tuple[str, ...]
@@ -30,7 +29,7 @@
     failed: set[str] = field(default_factory=set)
 
     def choices(self) -> tuple[str, ...]:
-        """Return addresses to try, in order; failed ones last."""
+        """Return the addresses in the order to try them, failed ones last."""
         known = self.current or self.seeds
         others = tuple(seed for seed in self.seeds if seed not in known)
         ordered = known + others
@@ -39,28 +38,28 @@
     def adopt(
         self, addresses: tuple[str, ...], valid_seconds: float, now_seconds: float
     ) -> None:
-        """Keep an answer for ``valid_seconds``."""
+        """Use a new list for ``valid_seconds``."""
         self.current = addresses
         self.valid_until_seconds = now_seconds + valid_seconds
         self.failed.clear()
 
     def mark_failed(self, address: str) -> None:
-        """Use ``address`` last until the next answer."""
+        """Try ``address`` last until the next list."""
         self.failed.add(address)
 
 
 async def refresh_addresses(
     book: AddressBook, session: aiohttp.ClientSession, key: str, now_seconds: float
 ) -> None:
-    """Ask for the list if the kept answer has run out.
+    """Request a new list if the current one has expired.
 
-    With no answer from any address the old list stays in use: an old address
-    that still works serves the caller, and an empty list would not.
+    If no address answers, the expired list stays in use: its addresses may still
+    work, while an empty list would not.
     """
     if now_seconds < book.valid_until_seconds:
         return
     headers = {"Authorization": f"Bearer {key}"}
-    timeout = aiohttp.ClientTimeout(total=_ADDRESS_SECONDS)
+    timeout = aiohttp.ClientTimeout(total=_ADDRESS_TIMEOUT_SECONDS)
     for address in book.choices():
         try:
             async with session.get(
--- a/lycheepost/loadgen/calls.py
+++ b/lycheepost/loadgen/calls.py
@@ -1,8 +1,8 @@
-"""Send one plain-service call as a caller does, with the same key each time.
+"""Sends one plain-service call as a caller does, with one idempotency key.
 
 A kiosk that gets no answer cannot know whether its order ran. It sends the same
-bytes with the same key again, through another address, until it has an answer
-or its shopper has left.
+bytes with the same key again, through another address, until it gets an answer or
+its time-out ends.
 """
 
 import asyncio
@@ -14,9 +14,9 @@
 from lycheepost.loadgen.addresses import AddressBook
 from lycheepost.loadgen.completions import (
     EXECUTED_HEADER,
-    PATIENCE_HEADER,
     REQUEST_ID_HEADER,
-    Line,
+    TIMEOUT_HEADER,
+    Client,
     read_refusal,
 )
 from lycheepost.loadgen.outcomes import (
@@ -32,37 +32,38 @@
 )
 from lycheepost.loadgen.requests import Repeat, ServiceCall
 
-_SENDS_PER_CALL = 8
-"""Bounds the load that one call adds while the system refuses it."""
-_LOST_AFTER_SECONDS = (0.001, 0.05)
-"""When a lost answer's connection breaks: before, during and after the run."""
-_PAUSE_SECONDS = 0.3
-"""Wait before another send when the refusal names no time."""
-_LONGEST_PAUSE_SECONDS = 5.0
-_CONFLICT_STATUSES = frozenset({409, 425, 429, 502, 503, 504})
-"""Refusals that may end differently on another send."""
-
-MakeLine = Callable[[str], Line]
+_MAX_ATTEMPTS_PER_CALL = 8
+"""Limits the load of one call while the system rejects it."""
+_DROP_AFTER_SECONDS = (0.001, 0.05)
+"""Range of times after which the connection of a lost answer is closed: before,
+during and after the run."""
+_RETRY_PAUSE_SECONDS = 0.3
+"""Wait before another attempt if the refusal names no time."""
+_MAX_RETRY_PAUSE_SECONDS = 5.0
+_RETRYABLE_STATUSES = frozenset({409, 425, 429, 502, 503, 504})
+"""Statuses of refusals that another attempt may resolve."""
+
+MakeClient = Callable[[str], Client]
 MakeRequestId = Callable[[], str]
 
 
 async def send_call(
-    call: ServiceCall, request_id: str, line: Line, service_path: str
+    call: ServiceCall, request_id: str, client: Client, service_path: str
 ) -> CallOutcome:
-    """Send ``call`` once and return its end; errors become outcomes."""
+    """Send ``call`` once and return its outcome; errors are outcomes too."""
     sent_seconds = asyncio.get_running_loop().time()
     headers = {
-        "Authorization": f"Bearer {line.key}",
+        "Authorization": f"Bearer {client.key}",
         "Content-Type": "application/json",
         "Idempotency-Key": call.key,
         "X-Non-Idempotent": "true",
         REQUEST_ID_HEADER: request_id,
-        PATIENCE_HEADER: f"{call.patience_seconds:g}",
+        TIMEOUT_HEADER: f"{call.timeout_seconds:g}",
     }
     try:
-        async with asyncio.timeout(call.patience_seconds):
-            async with line.session.post(
-                f"{line.address}{service_path}", data=call.body, headers=headers
+        async with asyncio.timeout(call.timeout_seconds):
+            async with client.session.post(
+                f"{client.address}{service_path}", data=call.body, headers=headers
             ) as response:
                 if _is_refusal(response):
                     return await read_refusal(response, sent_seconds)
@@ -79,7 +80,7 @@
 
 
 def _is_refusal(response: aiohttp.ClientResponse) -> bool:
-    """Tell a refusal from the service's own answer, which is relayed."""
+    """Return whether it is a refusal and not a relayed answer of the service."""
     executed = response.headers.get(EXECUTED_HEADER, Executed.YES.value)
     return response.status >= 400 and executed != Executed.YES.value
 
@@ -87,76 +88,79 @@
 async def run_call(
     call: ServiceCall,
     book: AddressBook,
-    make_line: MakeLine,
+    make_client: MakeClient,
     make_request_id: MakeRequestId,
     service_path: str,
     rng: np.random.Generator,
 ) -> CallRecord:
-    """Send ``call`` until it is answered, refused for good or out of time."""
+    """Send ``call`` until it is answered, finally rejected or timed out."""
     loop = asyncio.get_running_loop()
-    until_seconds = loop.time() + call.patience_seconds
+    deadline_seconds = loop.time() + call.timeout_seconds
     attempts: list[CallAttempt] = []
     if call.repeat is Repeat.AFTER_LOST_ANSWER:
-        line = make_line(book.choices()[0])
+        client = make_client(book.choices()[0])
         request_id = make_request_id()
-        drop_seconds = rng.uniform(*_LOST_AFTER_SECONDS)
-        outcome = await _send_and_drop(
-            call, request_id, line, service_path, drop_seconds
+        drop_seconds = rng.uniform(*_DROP_AFTER_SECONDS)
+        outcome = await _send_and_disconnect(
+            call, request_id, client, service_path, drop_seconds
         )
         attempts.append(CallAttempt(request_id, outcome))
     if call.repeat is Repeat.AT_ONCE:
-        attempts += await _send_at_once(
-            call, book, make_line, make_request_id, service_path
+        attempts += await _send_twice(
+            call, book, make_client, make_request_id, service_path
         )
-    # One more send than needed, where a caller repeats, shows that a settled
-    # call is answered again with the same bytes and does not run again.
+    # Callers that repeat make one attempt more than needed, to check that a call
+    # with a final answer gets the same bytes again and does not run again.
     n_extra = 0 if call.repeat is Repeat.NEVER else 1
-    while len(attempts) < _SENDS_PER_CALL and loop.time() < until_seconds:
-        if _is_settled(attempts):
+    while len(attempts) < _MAX_ATTEMPTS_PER_CALL and loop.time() < deadline_seconds:
+        if _is_final(attempts):
             if n_extra == 0:
                 break
             n_extra -= 1
         choices = book.choices()
         address = choices[len(attempts) % len(choices)]
         request_id = make_request_id()
-        outcome = await send_call(call, request_id, make_line(address), service_path)
+        outcome = await send_call(call, request_id, make_client(address), service_path)
         attempts.append(CallAttempt(request_id, outcome))
         if isinstance(outcome, Unreached):
             book.mark_failed(address)
-        await _pause(outcome, until_seconds)
+        await _pause(outcome, deadline_seconds)
     return CallRecord(call, tuple(attempts))
 
 
-async def _send_and_drop(
+async def _send_and_disconnect(
     call: ServiceCall,
     request_id: str,
-    line: Line,
+    client: Client,
     service_path: str,
     drop_seconds: float,
 ) -> CallOutcome:
-    """Send ``call`` and close the connection before reading an answer."""
+    """Send ``call`` and close the connection without reading the answer."""
     try:
         async with asyncio.timeout(drop_seconds):
-            await send_call(call, request_id, line, service_path)
+            await send_call(call, request_id, client, service_path)
     except TimeoutError:
         pass
     return Dropped()
 
 
-async def _send_at_once(
+async def _send_twice(
     call: ServiceCall,
     book: AddressBook,
-    make_line: MakeLine,
+    make_client: MakeClient,
     make_request_id: MakeRequestId,
     service_path: str,
 ) -> list[CallAttempt]:
-    """Send ``call`` twice at the same time, through two addresses if known."""
+    """Send ``call`` twice concurrently, through two addresses if known."""
     choices = book.choices()
     request_ids = (make_request_id(), make_request_id())
     outcomes = await asyncio.gather(
         *(
             send_call(
-                call, request_id, make_line(choices[index % len(choices)]), service_path
+                call,
+                request_id,
+                make_client(choices[index % len(choices)]),
+                service_path,
             )
             for index, request_id in enumerate(request_ids)
         )
@@ -167,27 +171,27 @@
     ]
 
 
-def _is_settled(attempts: list[CallAttempt]) -> bool:
-    """Whether another send can tell the caller nothing more."""
+def _is_final(attempts: list[CallAttempt]) -> bool:
+    """Return whether no further attempt can change the result."""
     for attempt in attempts:
         match attempt.outcome:
             case ServiceAnswered():
                 return True
-            case Refused(status=status) if status not in _CONFLICT_STATUSES:
+            case Refused(status=status) if status not in _RETRYABLE_STATUSES:
                 return True
     return False
 
 
-async def _pause(outcome: CallOutcome, until_seconds: float) -> None:
-    """Wait as long as a refusal asks for, never past the caller's patience."""
+async def _pause(outcome: CallOutcome, deadline_seconds: float) -> None:
+    """Wait as long as a refusal asks, but not beyond the caller's time-out."""
     match outcome:
         case ServiceAnswered():
             return
         case Refused(executed=Executed.YES):
-            pause_seconds = _PAUSE_SECONDS
+            pause_seconds = _RETRY_PAUSE_SECONDS
         case Refused(retry_after_seconds=float() as seconds):
-            pause_seconds = min(seconds, _LONGEST_PAUSE_SECONDS)
+            pause_seconds = min(seconds, _MAX_RETRY_PAUSE_SECONDS)
         case _:
-            pause_seconds = _PAUSE_SECONDS
-    left_seconds = until_seconds - asyncio.get_running_loop().time()
+            pause_seconds = _RETRY_PAUSE_SECONDS
+    left_seconds = deadline_seconds - asyncio.get_running_loop().time()
     await asyncio.sleep(max(0.0, min(pause_seconds, left_seconds)))
--- a/lycheepost/loadgen/completions.py
+++ b/lycheepost/loadgen/completions.py
@@ -1,8 +1,8 @@
-"""Send one chat completion as a caller does and record what came back.
+"""Sends one chat completion as a caller does and records the outcome.
 
-The answer is read with the published event format and nothing else: ``data:``
-lines, JSON chunks and the last ``[DONE]``. Nothing is retried here, because a
-caller's library that retried would hide a fault from the audit.
+The answer is parsed by the published event format only: ``data:`` lines, JSON chunks
+and the final ``[DONE]``. Nothing is retried here, because a retry would hide a fault
+from the audit.
 """
 
 import asyncio
@@ -26,17 +26,17 @@
 
 EXECUTED_HEADER = "Lycheepost-Executed"
 REQUEST_ID_HEADER = "X-Request-Id"
-PATIENCE_HEADER = "X-Request-Timeout-Seconds"
+TIMEOUT_HEADER = "X-Request-Timeout-Seconds"
 
-_ANSWER_SECONDS = 120.0
-"""A whole answer takes seconds; a stream that is open for two minutes hangs."""
+_ANSWER_TIMEOUT_SECONDS = 120.0
+"""A complete answer takes seconds; a stream that is open for two minutes hangs."""
 _DONE = "[DONE]"
 _DATA_PREFIX = b"data:"
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """Where and as whom to send."""
+class Client:
+    """Session, address, key and model that requests are sent with."""
 
     session: aiohttp.ClientSession
     address: str
@@ -45,8 +45,8 @@
 
 
 @dataclass
-class _Reading:
-    """What has been read of one stream so far."""
+class _StreamState:
+    """What has been read from one stream so far."""
 
     sent_seconds: float
     parts: list[str] = field(default_factory=list)
@@ -69,7 +69,7 @@
 
 
 def make_messages(request: Completion) -> list[dict[str, str]]:
-    """Return the OpenAI messages; the shared sections are system messages."""
+    """Return the OpenAI messages, with the shared sections as system messages."""
     messages = [
         {"role": "system", "content": section.text} for section in request.sections[:-1]
     ]
@@ -78,7 +78,7 @@
 
 
 def encode_completion(request: Completion, model: str) -> bytes:
-    """Return the OpenAI body of ``request``."""
+    """Return the OpenAI request body of ``request``."""
     body: dict[str, Any] = {
         "model": model,
         "messages": make_messages(request),
@@ -91,46 +91,46 @@
 
 
 async def send_completion(
-    request: Completion, request_id: str, line: Line
+    request: Completion, request_id: str, client: Client
 ) -> CompletionOutcome:
-    """Send ``request`` once and return its end; errors become outcomes."""
+    """Send ``request`` once and return its outcome; errors are outcomes too."""
     sent_seconds = asyncio.get_running_loop().time()
     headers = {
-        "Authorization": f"Bearer {line.key}",
+        "Authorization": f"Bearer {client.key}",
         "Content-Type": "application/json",
         REQUEST_ID_HEADER: request_id,
-        PATIENCE_HEADER: f"{request.patience_seconds:g}",
+        TIMEOUT_HEADER: f"{request.first_token_timeout_seconds:g}",
     }
-    reading = _Reading(sent_seconds)
+    state = _StreamState(sent_seconds)
     try:
-        async with asyncio.timeout(_ANSWER_SECONDS):
-            async with line.session.post(
-                f"{line.address}/v1/chat/completions",
-                data=encode_completion(request, line.model),
+        async with asyncio.timeout(_ANSWER_TIMEOUT_SECONDS):
+            async with client.session.post(
+                f"{client.address}/v1/chat/completions",
+                data=encode_completion(request, client.model),
                 headers=headers,
             ) as response:
                 if response.status != 200:
                     return await read_refusal(response, sent_seconds)
                 if request.is_streamed:
-                    return await _read_stream(response, reading, request)
-                return await _read_whole(response, sent_seconds)
+                    return await _read_stream(response, state, request)
+                return await _read_complete(response, sent_seconds)
     except TimeoutError:
-        return _explain_break(reading, "no end in time")
+        return _outcome_of_break(state, "no end in time")
     except (aiohttp.ClientError, OSError) as error:
-        return _explain_break(reading, type(error).__name__)
+        return _outcome_of_break(state, type(error).__name__)
 
 
-def _explain_break(reading: _Reading, reason: str) -> CompletionOutcome:
-    """Return the outcome of a connection that broke, which a caller can tell."""
-    if reading.parts:
-        return Truncated("".join(reading.parts), is_explicit=True)
+def _outcome_of_break(state: _StreamState, reason: str) -> CompletionOutcome:
+    """Return the outcome of a broken connection, which a caller can detect."""
+    if state.parts:
+        return Truncated("".join(state.parts), is_explicit=True)
     return Unreached(reason)
 
 
 async def read_refusal(
     response: aiohttp.ClientResponse, sent_seconds: float
 ) -> Refused:
-    """Return an error answer as a record; a foreign body keeps its status."""
+    """Parse an error response; with an unknown body only its status is kept."""
     data = await response.read()
     code = ""
     try:
@@ -164,71 +164,71 @@
 async def _events(response: aiohttp.ClientResponse) -> AsyncIterator[str]:
     """Yield the data of each server-sent event."""
     async for raw in response.content:
-        line = raw.strip()
-        if line.startswith(_DATA_PREFIX):
-            yield line[len(_DATA_PREFIX) :].strip().decode()
+        event_line = raw.strip()
+        if event_line.startswith(_DATA_PREFIX):
+            yield event_line[len(_DATA_PREFIX) :].strip().decode()
 
 
 async def _read_stream(
-    response: aiohttp.ClientResponse, reading: _Reading, request: Completion
+    response: aiohttp.ClientResponse, state: _StreamState, request: Completion
 ) -> CompletionOutcome:
     events = _events(response)
     loop = asyncio.get_running_loop()
-    give_up_seconds = reading.sent_seconds + request.patience_seconds
+    timeout_at_seconds = state.sent_seconds + request.first_token_timeout_seconds
     try:
-        while not reading.is_done and not reading.is_error:
-            when = None if reading.parts else give_up_seconds
+        while not state.is_done and not state.is_error:
+            when = None if state.parts else timeout_at_seconds
             async with asyncio.timeout_at(when):
                 data = await anext(events)
-            _take_event(data, reading, loop.time())
+            _apply_event(data, state, loop.time())
     except StopAsyncIteration:
         pass
     except TimeoutError:
-        return GaveUp(loop.time() - reading.sent_seconds)
-    return _finish_stream(response, reading)
+        return GaveUp(loop.time() - state.sent_seconds)
+    return _finish_stream(response, state)
 
 
-def _take_event(data: str, reading: _Reading, now_seconds: float) -> None:
+def _apply_event(data: str, state: _StreamState, now_seconds: float) -> None:
     if data == _DONE:
-        reading.is_done = True
+        state.is_done = True
         return
     try:
         chunk = msgspec.json.decode(data)
     except msgspec.DecodeError:
-        reading.is_error = True
+        state.is_error = True
         return
     if "error" in chunk:
-        reading.is_error = True
+        state.is_error = True
         return
     if chunk.get("usage"):
-        reading.usage = chunk["usage"]
+        state.usage = chunk["usage"]
     for choice in chunk.get("choices", ()):
         text = choice.get("delta", {}).get("content")
         if text:
-            reading.add_text(text, now_seconds)
-        reading.finish_reason = choice.get("finish_reason") or reading.finish_reason
+            state.add_text(text, now_seconds)
+        state.finish_reason = choice.get("finish_reason") or state.finish_reason
 
 
 def _finish_stream(
-    response: aiohttp.ClientResponse, reading: _Reading
+    response: aiohttp.ClientResponse, state: _StreamState
 ) -> CompletionOutcome:
-    text = "".join(reading.parts)
-    if reading.is_error:
+    text = "".join(state.parts)
+    if state.is_error:
         return Truncated(text, is_explicit=True)
-    if not reading.is_done or not reading.finish_reason:
+    if not state.is_done or not state.finish_reason:
         return Truncated(text, is_explicit=False)
-    first_seconds = reading.first_seconds or reading.sent_seconds
+    first_seconds = state.first_seconds or state.sent_seconds
     return _make_answer(
         text,
         response,
-        reading.finish_reason,
-        first_seconds - reading.sent_seconds,
-        reading.worst_gap_seconds,
-        reading.usage,
+        state.finish_reason,
+        first_seconds - state.sent_seconds,
+        state.worst_gap_seconds,
+        state.usage,
     )
 
 
-async def _read_whole(
+async def _read_complete(
     response: aiohttp.ClientResponse, sent_seconds: float
 ) -> CompletionOutcome:
     data = await response.read()
--- a/lycheepost/loadgen/drive.py
+++ b/lycheepost/loadgen/drive.py
@@ -1,9 +1,9 @@
-"""Send a plan's requests open-loop and report what their callers saw.
+"""Sends a plan's requests open-loop and reports what their callers saw.
 
-Each request is a task that starts at its time of arrival, whatever the others
-do. The run is bounded three ways: in time, in the number of requests, and in
-the number in flight; an arrival over the last bound is counted as not sent, so
-that a stuck system cannot make the driver grow without end.
+Each request is a task that starts at its arrival time, independent of the others. A
+run is limited in time, in the number of requests and in the number in flight. An
+arrival above the last limit is counted as not sent, so that the number of tasks
+stays bounded if the system does not answer.
 """
 
 import asyncio
@@ -17,9 +17,9 @@
 
 from lycheepost.core.ids import CustomerId
 from lycheepost.loadgen.addresses import AddressBook, refresh_addresses
-from lycheepost.loadgen.audit import Answers, Evidence, audit
+from lycheepost.loadgen.audit import Evidence, ExpectedAnswers, audit
 from lycheepost.loadgen.calls import run_call
-from lycheepost.loadgen.completions import Line, send_completion
+from lycheepost.loadgen.completions import Client, send_completion
 from lycheepost.loadgen.mixes import Deployment, Mix, generate, make_mix
 from lycheepost.loadgen.outcomes import (
     CompletionOutcome,
@@ -31,15 +31,15 @@
 from lycheepost.loadgen.report import LoadReport, make_report
 from lycheepost.loadgen.requests import Completion, Request, ServiceCall
 
-_PROGRESS_SECONDS = 1.0
-_CONNECTION_SECONDS = 2.0
-_COMPLETION_TRIES = 3
-"""Addresses that a completion tries while connections are refused."""
+_PROGRESS_INTERVAL_SECONDS = 1.0
+_CONNECT_TIMEOUT_SECONDS = 2.0
+_MAX_ADDRESSES_PER_COMPLETION = 3
+"""Addresses that a completion tries before it is recorded as unreached."""
 
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """What a run has done so far."""
+    """Progress of a run."""
 
     elapsed_seconds: float
     n_sent: int
@@ -54,18 +54,18 @@
 
 @dataclass(frozen=True)
 class LoadPlan:
-    """Everything that a run needs to be told.
+    """Settings of a run.
 
     Attributes:
-        addresses: Base URLs from the callers' own settings.
+        addresses: Base URLs from the callers' settings.
         keys: Caller keys, the largest customer first.
-        model: Name that completions ask for.
+        model: Name of the model that completions request.
         service_path: Path of the plain service, such as
             ``/services/kiosk-orders/orders``; empty to send no such calls.
-        rate_per_second: Arrivals at the peak of the day.
-        day_seconds: Length of a day; the run's own length when 0.
-        answers: What is known of the engines' right answers.
-        read_evidence: Reads the targets' own record after the run.
+        rate_per_second: Arrival rate at the peak of the day.
+        day_seconds: Length of a day; 0 means the length of the run.
+        answers: The engines' expected answers.
+        read_evidence: Reads the targets' records after the run.
     """
 
     addresses: tuple[str, ...]
@@ -73,7 +73,7 @@
     deployment: Deployment
     model: str
     service_path: str
-    answers: Answers
+    answers: ExpectedAnswers
     n_seconds: float = 10.0
     rate_per_second: float = 20.0
     day_seconds: float = 0.0
@@ -86,7 +86,7 @@
 
 @dataclass
 class _Run:
-    """State of one run; owned by the task of ``run_load``."""
+    """State of one run, owned by the task of ``run_load``."""
 
     plan: LoadPlan
     mix: Mix
@@ -100,30 +100,30 @@
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
     ids: Iterator[int] = field(default_factory=itertools.count)
 
-    def make_line(self, customer: CustomerId, address: str) -> Line:
-        return Line(self.session, address, self.plan.keys[customer], self.plan.model)
+    def make_client(self, customer: CustomerId, address: str) -> Client:
+        return Client(self.session, address, self.plan.keys[customer], self.plan.model)
 
     def make_request_id(self) -> str:
         return f"load-{self.run_id}-{next(self.ids)}"
 
 
 async def run_load(plan: LoadPlan) -> LoadReport:
-    """Drive ``plan`` to its end, wait for the answers, audit and report."""
+    """Send all requests of ``plan``, wait for the answers, audit and report."""
     rng = np.random.default_rng(plan.seed)
     connector = aiohttp.TCPConnector(limit=0)
-    timeout = aiohttp.ClientTimeout(total=None, sock_connect=_CONNECTION_SECONDS)
+    timeout = aiohttp.ClientTimeout(total=None, sock_connect=_CONNECT_TIMEOUT_SECONDS)
     async with aiohttp.ClientSession(connector=connector, timeout=timeout) as session:
         run = _Run(
             plan=plan,
             mix=make_mix(plan.deployment),
             session=session,
             books={customer: AddressBook(plan.addresses) for customer in plan.keys},
-            # From the seed's stream, so that a seeded run repeats its ids.
+            # Generated from the seed, so that a seeded run repeats its ids.
             run_id=f"{rng.integers(2**40):010x}",
             rng=rng,
         )
         started_seconds = asyncio.get_running_loop().time()
-        progress = asyncio.create_task(_show_progress(run, started_seconds))
+        progress = asyncio.create_task(_report_progress(run, started_seconds))
         try:
             await _send_all(run, started_seconds)
             await asyncio.gather(*run.tasks)
@@ -173,7 +173,7 @@
             record = await run_call(
                 request,
                 book,
-                lambda address: run.make_line(request.customer, address),
+                lambda address: run.make_client(request.customer, address),
                 run.make_request_id,
                 run.plan.service_path,
                 run.rng,
@@ -184,24 +184,24 @@
 async def _send_completion(
     run: _Run, request: Completion, book: AddressBook
 ) -> CompletionRecord:
-    """Send to the first address that takes the connection."""
+    """Send to the first address that accepts the connection."""
     request_id = run.make_request_id()
     outcome: CompletionOutcome = Unreached("no address")
-    for address in book.choices()[:_COMPLETION_TRIES]:
-        line = run.make_line(request.customer, address)
-        outcome = await send_completion(request, request_id, line)
+    for address in book.choices()[:_MAX_ADDRESSES_PER_COMPLETION]:
+        client = run.make_client(request.customer, address)
+        outcome = await send_completion(request, request_id, client)
         if not isinstance(outcome, Unreached):
             break
         book.mark_failed(address)
     return CompletionRecord(request, request_id, outcome)
 
 
-async def _show_progress(run: _Run, started_seconds: float) -> None:
+async def _report_progress(run: _Run, started_seconds: float) -> None:
     if run.plan.on_progress is None:
         return
     loop = asyncio.get_running_loop()
     while True:
-        await asyncio.sleep(_PROGRESS_SECONDS)
+        await asyncio.sleep(_PROGRESS_INTERVAL_SECONDS)
         kinds = Counter(
             isinstance(record, CompletionRecord) and isinstance(record.outcome, Refused)
             for record in run.records
--- a/lycheepost/loadgen/mixes.py
+++ b/lycheepost/loadgen/mixes.py
@@ -1,12 +1,12 @@
-"""The two deployments' traffic as seeded generators without I/O or clock.
+"""Generates the traffic of the two deployments from a seed, without I/O or clock.
 
-A mix is a frozen record of numbers, each with its reason beside it, and
-``generate`` turns a mix and a numpy generator into requests in order of
-arrival. The same seed gives the same requests on every machine.
+A mix holds the parameters of one deployment. ``generate`` turns a mix and a numpy
+generator into requests in order of arrival. The same seed gives the same requests on
+every machine.
 
-Arrivals are an open-loop Poisson process: a caller does not wait for another
-caller's answer, so a system that falls behind meets the queue that it would
-meet in service. A closed loop would slow down with the system and hide it.
+Arrivals are an open-loop Poisson process: callers do not wait for each other's
+answers, so that an overloaded system builds up the same queue as in production. A
+closed loop would slow down with the system and hide the queue.
 """
 
 import functools
@@ -36,7 +36,7 @@
 
 
 class Deployment(Enum):
-    """Whose traffic is generated."""
+    """Deployments whose traffic can be generated."""
 
     PRAIRIE = "prairie"
     MERCIA = "mercia"
@@ -44,22 +44,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """The numbers of one deployment's traffic.
+    """Parameters of one deployment's traffic.
 
     Attributes:
-        tenant_words, template_words, batch_words: Length of the three shared
+        tenant_words, template_words, batch_words: Lengths of the three shared
             prompt levels.
-        own_words: Shortest and longest part that belongs to one request alone.
+        own_words: Range of lengths of the part that only one request has.
         short_tokens, long_tokens: Range of answer lengths, in tokens.
         long_share: Share of completions with a long answer.
-        short_patience_seconds, long_patience_seconds: Wait for a first token.
+        short_first_token_timeout_seconds, long_first_token_timeout_seconds: Time
+            that a caller waits for the first token.
         call_share: Share of requests that are plain-service calls.
-        lost_answer_share, double_send_share: Shares of those calls whose caller
-            loses the answer, or sends twice at once.
+        lost_answer_share, duplicate_send_share: Shares of those calls whose caller
+            loses the answer, or sends the call twice at the same time.
         customer_skew: Zipf exponent of the customers' shares.
-        hot_share: Share of completions that use the one hot batch.
-        hot_shift_share: Part of a day after which another batch is hot.
-        night_share: Lowest rate of the day as a share of the highest.
+        hot_share: Share of completions that use the hot batch.
+        hot_shift_share: Share of a day after which another batch becomes hot.
+        night_share: Lowest rate of the day relative to the highest.
     """
 
     deployment: Deployment
@@ -73,13 +74,13 @@
     short_tokens: tuple[int, int]
     long_tokens: tuple[int, int]
     long_share: float
-    short_patience_seconds: float
-    long_patience_seconds: float
+    short_first_token_timeout_seconds: float
+    long_first_token_timeout_seconds: float
     streamed_share: float
     call_share: float
-    call_patience_seconds: float
+    call_timeout_seconds: float
     lost_answer_share: float
-    double_send_share: float
+    duplicate_send_share: float
     customer_skew: float
     hot_share: float
     hot_shift_share: float
@@ -87,37 +88,37 @@
 
 
 def make_prairie_mix() -> Mix:
-    """Return kiosk traffic: short captions, many print orders, no patience."""
+    """Return kiosk traffic: short captions, many print orders, short time-outs."""
     return Mix(
         deployment=Deployment.PRAIRIE,
         service_group="kiosk-orders",
-        # A retailer's wording rules are a page, a template half of that, and an
-        # album's description a few lines for each of some twenty photos.
+        # A retailer's wording rules fill a page, a template half a page, and an
+        # album's description has a few lines for each of about twenty photos.
         tenant_words=400,
         template_words=200,
         batch_words=300,
         own_words=(20, 60),
         n_templates=4,
         n_batches=24,
-        # A caption is a line; an album's set of titles is a paragraph.
+        # A caption is one line, the titles of an album are one paragraph.
         short_tokens=(6, 20),
         long_tokens=(40, 90),
         long_share=0.2,
-        # A shopper stands at the screen for the caption; the album's titles
-        # are read after the payment.
-        short_patience_seconds=5.0,
-        long_patience_seconds=15.0,
+        # A shopper waits at the screen for a caption, but reads the album's titles
+        # only after the payment.
+        short_first_token_timeout_seconds=5.0,
+        long_first_token_timeout_seconds=15.0,
         streamed_share=0.8,
-        # A visit makes about three captions and one order.
+        # A visit has about three captions and one order.
         call_share=0.25,
-        call_patience_seconds=20.0,
-        # Kiosks hang on shop networks: one order in twenty loses its answer,
-        # and one in fifty is tapped twice.
+        call_timeout_seconds=20.0,
+        # Kiosks use unreliable shop networks: one order in twenty loses its answer.
+        # One order in fifty is sent twice by a double tap.
         lost_answer_share=0.05,
-        double_send_share=0.02,
-        # "8 customers, a few of them large".
+        duplicate_send_share=0.02,
+        # The deployment has 8 customers, a few of them large.
         customer_skew=1.2,
-        # A seasonal template with its sample album is in a third of visits.
+        # A seasonal template with its sample album is used in a third of the visits.
         hot_share=0.3,
         hot_shift_share=0.25,
         night_share=0.5,
@@ -125,32 +126,31 @@
 
 
 def make_mercia_mix() -> Mix:
-    """Return letter traffic: long shared prompts, longer answers, patience."""
+    """Return letter traffic: long shared prompts, longer answers and time-outs."""
     return Mix(
         deployment=Deployment.MERCIA,
         service_group="postroom-app",
-        # Sorting rules and a glossary of agencies are several pages; a batch
-        # holds the history of one recipient's or one office's letters.
+        # Sorting rules and a glossary of agencies fill several pages; a batch holds
+        # the letters of one recipient or one office.
         tenant_words=800,
         template_words=400,
         batch_words=900,
         own_words=(80, 300),
         n_templates=3,
         n_batches=30,
-        # Sorting answers in a line; a plain summary takes a paragraph or two.
+        # A sorting answer is one line, a summary one or two paragraphs.
         short_tokens=(8, 24),
         long_tokens=(60, 160),
         long_share=0.6,
-        # A caseworker waits for a sorting answer; summaries may be timely
-        # rather than instant.
-        short_patience_seconds=15.0,
-        long_patience_seconds=60.0,
+        # A caseworker waits for a sorting answer, while summaries may take longer.
+        short_first_token_timeout_seconds=15.0,
+        long_first_token_timeout_seconds=60.0,
         streamed_share=0.6,
-        # One letter in ten is forwarded at once.
+        # One letter in ten is forwarded immediately.
         call_share=0.1,
-        call_patience_seconds=30.0,
+        call_timeout_seconds=30.0,
         lost_answer_share=0.05,
-        double_send_share=0.02,
+        duplicate_send_share=0.02,
         customer_skew=1.2,
         hot_share=0.2,
         hot_shift_share=0.25,
@@ -169,13 +169,13 @@
 
 @functools.lru_cache(maxsize=4096)
 def _shared_text(name: str, n_words: int) -> str:
-    """Return the words of the shared section ``name``, equal on every call."""
+    """Return the words of the shared section ``name``, the same on every call."""
     rng = np.random.default_rng(list(name.encode()))
     return " ".join(_WORDS[index] for index in rng.integers(len(_WORDS), size=n_words))
 
 
-def rate_share(mix: Mix, day_share: float) -> float:
-    """Return the rate at ``day_share`` (0 and 1 are midnight) over the peak's."""
+def relative_rate(mix: Mix, day_share: float) -> float:
+    """Return the rate at ``day_share`` (0 and 1 are midnight) relative to the peak."""
     daylight = 0.5 - 0.5 * math.cos(2 * math.pi * day_share)
     return mix.night_share + (1 - mix.night_share) * daylight
 
@@ -185,7 +185,7 @@
     return weights / weights.sum()
 
 
-def _between(rng: np.random.Generator, bounds: tuple[int, int]) -> int:
+def _random_between(rng: np.random.Generator, bounds: tuple[int, int]) -> int:
     return int(rng.integers(bounds[0], bounds[1] + 1))
 
 
@@ -205,8 +205,10 @@
     tenant_name = f"{mix.deployment.value}/{customer}"
     template_name = f"{tenant_name}/{template}"
     batch_name = f"{template_name}/{batch}"
-    n_own = _between(rng, mix.own_words)
-    own = " ".join(_WORDS[index] for index in rng.integers(len(_WORDS), size=n_own))
+    n_own_words = _random_between(rng, mix.own_words)
+    own = " ".join(
+        _WORDS[index] for index in rng.integers(len(_WORDS), size=n_own_words)
+    )
     return (
         Section(tenant_name, _shared_text(tenant_name, mix.tenant_words)),
         Section(template_name, _shared_text(template_name, mix.template_words)),
@@ -225,14 +227,18 @@
 ) -> Completion:
     is_long = rng.random() < mix.long_share
     tokens = mix.long_tokens if is_long else mix.short_tokens
-    patience = mix.long_patience_seconds if is_long else mix.short_patience_seconds
+    first_token_timeout_seconds = (
+        mix.long_first_token_timeout_seconds
+        if is_long
+        else mix.short_first_token_timeout_seconds
+    )
     return Completion(
         number=number,
         arrive_seconds=arrive_seconds,
         customer=customer,
         sections=_make_sections(mix, customer, day_share, number, rng),
-        max_tokens=_between(rng, tokens),
-        patience_seconds=patience,
+        max_tokens=_random_between(rng, tokens),
+        first_token_timeout_seconds=first_token_timeout_seconds,
         is_streamed=bool(rng.random() < mix.streamed_share),
     )
 
@@ -244,15 +250,15 @@
     customer: CustomerId,
     rng: np.random.Generator,
 ) -> ServiceCall:
-    # The random part keeps the keys of two runs against one system apart.
+    # The random part makes keys unique over several runs against one system.
     order = f"{mix.deployment.value}-{number}-{rng.integers(2**48):012x}"
     draw = rng.random()
     repeat = Repeat.NEVER
     if draw < mix.lost_answer_share:
         repeat = Repeat.AFTER_LOST_ANSWER
-    elif draw < mix.lost_answer_share + mix.double_send_share:
+    elif draw < mix.lost_answer_share + mix.duplicate_send_share:
         repeat = Repeat.AT_ONCE
-    body = {"order_id": order, "n_prints": _between(rng, (1, 40))}
+    body = {"order_id": order, "n_prints": _random_between(rng, (1, 40))}
     return ServiceCall(
         number=number,
         arrive_seconds=arrive_seconds,
@@ -260,7 +266,7 @@
         order=order,
         key=IdempotencyKey(order),
         body=json.dumps(body).encode(),
-        patience_seconds=mix.call_patience_seconds,
+        timeout_seconds=mix.call_timeout_seconds,
         repeat=repeat,
     )
 
@@ -272,15 +278,15 @@
     day_seconds: float,
     rng: np.random.Generator,
 ) -> Iterator[Request]:
-    """Yield requests in order of arrival, without end.
+    """Yield an endless sequence of requests in order of arrival.
 
     Args:
-        mix: The deployment's numbers.
-        customers: The largest first.
-        rate_per_second: Rate at the peak of the day.
-        day_seconds: Length of a day, so that a short run sees a whole one; it
-            starts at noon.
-        rng: The only source of chance.
+        mix: The deployment's parameters.
+        customers: Customers, the largest first.
+        rate_per_second: Arrival rate at the peak of the day.
+        day_seconds: Length of a day, which starts at noon; a short run can thus
+            cover a full day.
+        rng: The only source of randomness.
     """
     weights = _customer_weights(mix, len(customers))
     now_seconds = 0.0
@@ -288,8 +294,9 @@
     while True:
         now_seconds += rng.exponential(1 / rate_per_second)
         day_share = (now_seconds / day_seconds + 0.5) % 1.0
-        # Thinning of the peak's Poisson process gives the daily curve exactly.
-        if rng.random() >= rate_share(mix, day_share):
+        # Thinning of the Poisson process of the peak rate gives the exact daily
+        # curve.
+        if rng.random() >= relative_rate(mix, day_share):
             continue
         number += 1
         customer = customers[int(rng.choice(len(customers), p=weights))]
--- a/lycheepost/loadgen/outcomes.py
+++ b/lycheepost/loadgen/outcomes.py
@@ -1,4 +1,4 @@
-"""What happened to a request, as its caller saw it."""
+"""Outcomes of requests as their callers see them."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -13,19 +13,19 @@
     UNKNOWN = "unknown"
     YES = "yes"
     ABSENT = "absent"
-    """The refusal carried no such header, which is a fault by itself."""
+    """The refusal has no such header, which is a violation."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """An answer that claims to be whole.
+    """An answer that is marked as complete.
 
     Attributes:
-        text: All of the answer's text, in the order in which it came.
+        text: The answer's text in the order of arrival.
         echoed_request: The ``X-Request-Id`` of the response.
-        finish_reason: As the answer says it; empty when it says none.
-        ttft_seconds: From the send to the first text; for a whole answer to its
-            end.
+        finish_reason: The answer's finish reason; empty if it has none.
+        ttft_seconds: Time from the send to the first text, or to the end of an
+            answer that is not streamed.
         worst_gap_seconds: Longest time between two chunks with text.
     """
 
@@ -51,11 +51,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """An error answer in place of the asked one.
+    """An error response.
 
     Attributes:
-        code: The ``code`` of the OpenAI error body; empty when there is none.
-        retry_after_seconds: None when the answer names no time.
+        code: The ``code`` of the OpenAI error body; empty if it has none.
+        retry_after_seconds: None if the response names no time.
     """
 
     status: int
@@ -67,13 +67,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Truncated:
-    """An answer that broke off.
+    """A truncated answer.
 
     Attributes:
-        text: What came before the break.
-        is_explicit: The caller could tell: an error event or a broken
-            connection. A stream that just ends, without a finish reason or a
-            last marker, looks finished to a common client.
+        text: The text before the truncation.
+        is_explicit: Whether the caller can detect the truncation by an error event
+            or a broken connection. A stream that ends without a finish reason or a
+            final marker looks finished to common clients.
     """
 
     text: str
@@ -82,21 +82,21 @@
 
 @dataclass(frozen=True, slots=True)
 class GaveUp:
-    """The caller's patience ran out before a first token or an answer."""
+    """The caller timed out before a first token or an answer."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class Unreached:
-    """No address took the connection, or it broke before any answer."""
+    """No address accepted the connection, or it broke before any answer."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Dropped:
-    """The caller closed the connection on purpose before the answer."""
+    """The caller intentionally closed the connection before the answer."""
 
 
 CompletionOutcome = Answered | Refused | Truncated | GaveUp | Unreached
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletionRecord:
-    """One completion and its end.
+    """One completion and its outcome.
 
     Attributes:
         request_id: The ``X-Request-Id`` that was sent.
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallAttempt:
-    """One send of a plain-service call."""
+    """One attempt of a plain-service call."""
 
     request_id: str
     outcome: CallOutcome
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRecord:
-    """One plain-service call and every send of it, in order of their ends."""
+    """One plain-service call and all its attempts, in the order in which they ended."""
 
     request: ServiceCall
     attempts: tuple[CallAttempt, ...]
