--- a/features/load/audit.feature
+++ b/features/load/audit.feature
@@ -1,11 +1,11 @@
 Feature: The audit of a load run
-  Callers are told nothing but what comes over HTTP, so the audit must find each
-  way in which a system can wrong them, and find nothing in a system that serves.
+  Callers see only HTTP responses. The audit must detect every kind of wrong answer
+  and report nothing for a system that serves or refuses correctly.
 
   Scenario Outline: A system that wrongs its callers is found out
-    Kiosks and hostels send their usual traffic. One answer in five is spoiled
-    in one way before it reaches its caller; everything else is served well.
-    The run must end with exactly this kind of fault and a failing exit code.
+    Guards against an audit that misses a kind of wrong answer. One answer in five is
+    spoiled in one way, all others are correct. The run must report exactly this kind
+    of fault and exit with an error.
 
     Given a system that spoils one answer in five by "<spoil>"
     When prairie traffic runs against it
@@ -50,13 +50,13 @@
     Then some answers are counted as truncated
 
   Scenario: A caller moves on when an address takes no connection
-    The first address of the list is a VM that was replaced a minute ago. A
-    caller that keeps an old list must still be served by the next address.
+    Guards against unserved requests of callers whose list is outdated: its first
+    address is a VM that was replaced, so they must use the next address.
 
     Given a system whose first address takes no connection
     When prairie traffic runs against it
     Then the audit finds nothing
-    And nothing is left unreached
+    And no request is left unreached
 
   Scenario: The same seed gives the same requests
     When the first 200 requests of "mercia" are generated twice with seed 7
--- a/features/load/steps/audit_steps.py
+++ b/features/load/steps/audit_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the load tool's features."""
+"""Steps of audit.feature."""
 
 import asyncio
 import itertools
@@ -15,7 +15,7 @@
 from spoiled import SpoiledSystem, answer_words  # noqa: E402
 
 from lycheepost.core.ids import CustomerId  # noqa: E402
-from lycheepost.loadgen.audit import Answers  # noqa: E402
+from lycheepost.loadgen.audit import ExpectedAnswers  # noqa: E402
 from lycheepost.loadgen.drive import LoadPlan, run_load  # noqa: E402
 from lycheepost.loadgen.mixes import (  # noqa: E402
     Deployment,
@@ -56,7 +56,7 @@
         deployment=deployment,
         model="m",
         service_path="/services/kiosk-orders/orders",
-        answers=Answers(
+        answers=ExpectedAnswers(
             text=lambda request: "".join(answer_words(request.number)),
             prompt_hash=lambda request: request.number,
         ),
@@ -105,7 +105,7 @@
     assert context.report.audit.n_truncated > 0
 
 
-@then("nothing is left unreached")
+@then("no request is left unreached")
 def then_reached(context):
     assert context.report.n_unreached == 0
     assert context.report.n_answered == context.report.n_sent
--- a/features/load/steps/spoiled.py
+++ b/features/load/steps/spoiled.py
@@ -1,4 +1,4 @@
-"""A small HTTP system that serves the load tool and spoils chosen answers."""
+"""A small HTTP system that serves the load generator and spoils one answer in five."""
 
 import asyncio
 import itertools
@@ -26,7 +26,7 @@
     spoil: str
     addresses: list[str] = field(default_factory=list)
     runs: Counter = field(default_factory=Counter)
-    seen: set = field(default_factory=set)
+    ran_prompts: set = field(default_factory=set)
     answers: dict = field(default_factory=dict)
     previous: int = 0
     numbers: itertools.count = field(default_factory=itertools.count)
@@ -35,7 +35,7 @@
         return next(self.numbers) % 5 == 2
 
     async def evidence(self) -> Evidence:
-        return Evidence(self.runs, frozenset(self.seen))
+        return Evidence(self.runs, frozenset(self.ran_prompts))
 
     async def list_addresses(self, request):
         return web.json_response(
@@ -54,7 +54,7 @@
             return self.refuse(request, {"Lycheepost-Executed": "no"})
         if spoil == "refuse without a mark":
             return self.refuse(request, {})
-        self.seen.add(number_of(body))
+        self.ran_prompts.add(number_of(body))
         if spoil == "run, say not run":
             return self.refuse(request, {"Lycheepost-Executed": "no"})
         number = number_of(body)
--- a/lycheepost/loadgen/__init__.py
+++ b/lycheepost/loadgen/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' traffic: generated, sent and audited."""
+"""Load generator: generates, sends and audits callers' traffic."""
--- a/lycheepost/loadgen/audit.py
+++ b/lycheepost/loadgen/audit.py
@@ -1,12 +1,13 @@
-"""Judge every answer of a run against what was asked and what the targets saw.
+"""Checks every answer of a run against its request and the targets' records.
 
-Pure: it reads records and evidence and returns findings. The evidence is what
-the targets themselves recorded, read from them and not through the system under
-test, so that a system which lies to its callers is found out.
+Pure: it reads records and evidence and returns findings. The evidence is read from
+the targets directly and not through the system under test, so that false answers of
+the system are detected.
 
-A truncated answer that says so is counted and is no violation by itself; one
-that looks finished is. A request that was given up, refused or unreached is
-counted too, and is a violation only if the refusal was untrue.
+An answer that is marked as truncated is counted, but is no violation; a truncated
+answer that looks finished is one. Requests that were given up, rejected or never
+reached the system are counted too, and are violations only if the rejection was
+untrue.
 """
 
 from collections import Counter
@@ -26,18 +27,18 @@
 )
 from lycheepost.loadgen.requests import Completion
 
-SHOWN_VIOLATIONS = 20
+MAX_SHOWN_VIOLATIONS = 20
 
 _ERROR_STATUS = 400
 
 
 @dataclass(frozen=True, slots=True)
-class Answers:
-    """What is known beforehand of the engines that answer.
+class ExpectedAnswers:
+    """Expected answers of the engines.
 
     Attributes:
-        text: The one right answer to a completion.
-        prompt_hash: The hash under which an engine records its prompt.
+        text: Returns the only correct answer to a completion.
+        prompt_hash: Returns the hash that an engine records for the prompt.
     """
 
     text: Callable[[Completion], str]
@@ -45,24 +46,24 @@
 
 
 class Fault(Enum):
-    """What an answer must never do."""
+    """Kinds of violation."""
 
     WRONG_TEXT = "wrong_text"
-    """Not the asked answer: words lost, doubled or out of order."""
+    """Not the expected answer: words are lost, duplicated or out of order."""
     CROSSED = "crossed"
-    """The answer of another request, or one tied to another request's id."""
+    """The answer of another request, or an answer with another request's id."""
     LOOKS_FINISHED = "looks_finished"
-    """A part of the answer that claims to be all of it."""
+    """A part of the answer that is marked as complete."""
     DOUBLED = "doubled"
-    """A call that must not run twice did."""
+    """A call that must run at most once ran more than once."""
     LOST = "lost"
     """A call that was acknowledged never ran."""
     UNTRUE_NOT_RUN = "untrue_not_run"
-    """A refusal said ``no`` and a target saw the request."""
+    """A refusal says that the request was not executed, but a target received it."""
     REFUSAL_UNMARKED = "refusal_unmarked"
     """A refusal that does not say whether the request ran."""
     RESEND_DIFFERS = "resend_differs"
-    """Two sends of one key were answered with different bytes."""
+    """Two attempts with the same key got answers with different bytes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,9 +81,9 @@
     """What the targets recorded.
 
     Attributes:
-        order_runs: How often each order ran; None when no plain service's
+        order_runs: Number of runs of each order; None if no plain service's
             record could be read.
-        prompt_hashes: Hash of every prompt that an engine took; None when no
+        prompt_hashes: Hashes of all prompts that engines received; None if no
             engine's record could be read.
     """
 
@@ -92,11 +93,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditReport:
-    """Findings of a whole run; ``is_clean`` when no fault was found.
+    """Findings of one run.
 
     Attributes:
-        n_unresolved_calls: Calls whose callers never learned whether they ran.
-        is_order_record_read: Whether calls were checked against the record.
+        n_unresolved_calls: Calls whose callers do not know whether they ran.
+        is_order_record_read: Whether calls were checked against the services' record.
     """
 
     n_checked: int
@@ -116,23 +117,23 @@
 
 
 def audit(
-    records: Iterable[Record], evidence: Evidence, answers: Answers
+    records: Iterable[Record], evidence: Evidence, answers: ExpectedAnswers
 ) -> AuditReport:
-    """Check every record and return what was found.
+    """Check every record and return the findings.
 
     Args:
-        records: Every request of the run.
+        records: All requests of the run with their outcomes.
         evidence: What the targets recorded.
-        answers: What is known of the right answers.
+        answers: The expected answers.
     """
     records = tuple(records)
-    owners = _index_owners(records, answers)
+    answer_index = _index_answers(records, answers)
     violations: list[Violation] = []
     n_answers = n_truncated = n_calls = n_sends = n_unresolved = 0
     for record in records:
         match record:
             case CompletionRecord():
-                violations += _check_completion(record, evidence, owners)
+                violations += _check_completion(record, evidence, answer_index)
                 n_answers += isinstance(record.outcome, Answered)
                 n_truncated += isinstance(record.outcome, Truncated)
             case CallRecord():
@@ -155,20 +156,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Owners:
-    """Which requests an answer's text belongs to, by number."""
+class _AnswerIndex:
+    """Expected texts and prompt hashes by request number, and the reverse."""
 
     texts: dict[int, str]
     numbers: dict[str, int]
     prompt_hashes: dict[int, int]
 
 
-def _index_owners(records: tuple[Record, ...], answers: Answers) -> _Owners:
+def _index_answers(
+    records: tuple[Record, ...], answers: ExpectedAnswers
+) -> _AnswerIndex:
     requests = [
         record.request for record in records if isinstance(record, CompletionRecord)
     ]
     texts = {request.number: answers.text(request) for request in requests}
-    return _Owners(
+    return _AnswerIndex(
         texts=texts,
         numbers={text: number for number, text in texts.items()},
         prompt_hashes={
@@ -178,12 +181,12 @@
 
 
 def _check_completion(
-    record: CompletionRecord, evidence: Evidence, owners: _Owners
+    record: CompletionRecord, evidence: Evidence, answer_index: _AnswerIndex
 ) -> Iterator[Violation]:
-    expected = owners.texts[record.request.number]
+    expected = answer_index.texts[record.request.number]
     match record.outcome:
         case Answered() as answer:
-            yield from _check_answer(record, answer, expected, owners)
+            yield from _check_answer(record, answer, expected, answer_index)
         case Truncated(text=text, is_explicit=is_explicit):
             if not is_explicit:
                 yield _violation(record, Fault.LOOKS_FINISHED, "ended without a marker")
@@ -192,22 +195,27 @@
                     record, Fault.WRONG_TEXT, _first_difference(text, expected)
                 )
         case Refused() as refusal:
-            yield from _check_marked(record.request.number, record.request_id, refusal)
+            yield from _check_executed_header(
+                record.request.number, record.request_id, refusal
+            )
             hashes = evidence.prompt_hashes or frozenset()
-            is_seen = owners.prompt_hashes[record.request.number] in hashes
+            is_seen = answer_index.prompt_hashes[record.request.number] in hashes
             if refusal.executed is Executed.NO and is_seen:
                 detail = f"status {refusal.status} {refusal.code}"
                 yield _violation(record, Fault.UNTRUE_NOT_RUN, detail)
 
 
 def _check_answer(
-    record: CompletionRecord, answer: Answered, expected: str, owners: _Owners
+    record: CompletionRecord,
+    answer: Answered,
+    expected: str,
+    answer_index: _AnswerIndex,
 ) -> Iterator[Violation]:
     if answer.echoed_request != record.request_id:
         yield _violation(record, Fault.CROSSED, f"echoed {answer.echoed_request!r}")
     if answer.text == expected:
         return
-    owner = owners.numbers.get(answer.text)
+    owner = answer_index.numbers.get(answer.text)
     if owner is not None:
         yield _violation(record, Fault.CROSSED, f"text of request {owner}")
     elif expected.startswith(answer.text):
@@ -219,7 +227,7 @@
         )
 
 
-def _check_marked(
+def _check_executed_header(
     number: int, request_id: str, refusal: Refused
 ) -> Iterator[Violation]:
     if refusal.executed is Executed.ABSENT:
@@ -232,7 +240,7 @@
     for attempt in record.attempts:
         match attempt.outcome:
             case Refused() as refusal:
-                yield from _check_marked(number, attempt.request_id, refusal)
+                yield from _check_executed_header(number, attempt.request_id, refusal)
             case ServiceAnswered(echoed_request=echoed):
                 if echoed != attempt.request_id:
                     detail = f"echoed {echoed!r}"
@@ -292,7 +300,7 @@
 
 
 def _first_difference(text: str, expected: str) -> str:
-    """Say where two texts part, without showing either."""
+    """Describe where two texts differ, without showing either."""
     pairs = zip(text, expected, strict=False)
     n_equal = next(
         (index for index, (left, right) in enumerate(pairs) if left != right),
--- a/lycheepost/loadgen/expected.py
+++ b/lycheepost/loadgen/expected.py
@@ -1,7 +1,7 @@
-"""What the stand-in engines and services must answer, and what they recorded.
+"""Expected answers and records of the stand-in engines and services.
 
-Both are known without asking the system under test: the stand-in engine's
-answer is a function of the prompt, and the stand-ins keep a record of their own.
+Both are available without the system under test: the stand-in engine's answer is a
+function of the prompt, and the stand-ins keep their own records.
 """
 
 from collections import Counter
@@ -12,15 +12,15 @@
 import msgspec
 
 from lycheepost.core.hashing import hash_bytes
-from lycheepost.loadgen.audit import Answers, Evidence
+from lycheepost.loadgen.audit import Evidence, ExpectedAnswers
 from lycheepost.loadgen.completions import make_messages
 from lycheepost.loadgen.requests import Completion
 from lycheepost.standin.answers import chat_prompt_text, expected_words
 from lycheepost.standin.engine import EngineStandin
 from lycheepost.standin.service import ServiceStandin
 
-_MOST_ORDERS = 200_000
-"""Bounds the reading of a record that somebody else keeps filling."""
+_MAX_ORDERS = 200_000
+"""Limits the reading of a record that other callers continue to fill."""
 
 
 def _prompt_text(request: Completion) -> str:
@@ -36,13 +36,13 @@
     return hash_bytes(_prompt_text(request).encode())
 
 
-def make_standin_answers() -> Answers:
-    """Return what is known of the stand-in engines' answers."""
-    return Answers(text=_expected_text, prompt_hash=_prompt_hash)
+def make_standin_answers() -> ExpectedAnswers:
+    """Return the expected answers of the stand-in engines."""
+    return ExpectedAnswers(text=_expected_text, prompt_hash=_prompt_hash)
 
 
 def count_orders(bodies: Iterable[bytes]) -> Counter[str]:
-    """Count how often each ``order_id`` ran; bodies without one are skipped."""
+    """Count the runs of each ``order_id``; bodies without one are skipped."""
     runs: Counter[str] = Counter()
     for body in bodies:
         try:
@@ -56,7 +56,7 @@
 def collect_evidence(
     engines: Iterable[EngineStandin], services: Iterable[ServiceStandin]
 ) -> Evidence:
-    """Return the record of stand-ins that run in this process."""
+    """Return the records of stand-ins in this process."""
     bodies = (order.body for service in services for order in service.orders)
     hashes = (record.prompt_hash for engine in engines for record in engine.records)
     return Evidence(order_runs=count_orders(bodies), prompt_hashes=frozenset(hashes))
@@ -66,8 +66,8 @@
     """Read the orders that stand-in services in other processes ran.
 
     Raises:
-        aiohttp.ClientError: A service could not be read; an audit without its
-            record would pass what it cannot know.
+        aiohttp.ClientError: A service could not be read. An audit without its
+            record could not detect lost or repeated orders.
     """
     runs: Counter[str] = Counter()
     async with aiohttp.ClientSession() as session:
@@ -80,7 +80,7 @@
 async def _orders(
     session: aiohttp.ClientSession, url: str
 ) -> AsyncIterator[dict[str, Any]]:
-    for number in range(1, _MOST_ORDERS):
+    for number in range(1, _MAX_ORDERS):
         async with session.get(f"{url}/orders/{number}") as response:
             if response.status == 404:
                 return
--- a/lycheepost/loadgen/report.py
+++ b/lycheepost/loadgen/report.py
@@ -1,4 +1,4 @@
-"""The figures of one run, as a record, a table and JSON."""
+"""Reports the results of one run as a record, a table and JSON."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from lycheepost.loadgen.audit import SHOWN_VIOLATIONS, AuditReport
+from lycheepost.loadgen.audit import MAX_SHOWN_VIOLATIONS, AuditReport
 from lycheepost.loadgen.outcomes import (
     Answered,
     CallRecord,
@@ -21,13 +21,13 @@
 from lycheepost.loadgen.requests import Completion
 
 _MICROSECONDS = 1_000_000
-_LONGEST_MICROSECONDS = 600 * _MICROSECONDS
+_MAX_MICROSECONDS = 600 * _MICROSECONDS
 _SIGNIFICANT_DIGITS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Quantiles:
-    """Points of one distribution, in seconds; zero for an empty one."""
+    """Quantiles of one distribution; zero if it is empty."""
 
     n_values: int
     p50_seconds: float
@@ -38,15 +38,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What the callers of a run saw.
+    """Results of a run as its callers saw them.
 
     Attributes:
-        n_over_bound: Arrivals that were not sent because too many were open.
-        hit_rate: Cached prompt tokens over prompt tokens, from the answers.
-        reusable_tokens: Prompt tokens of levels that an earlier answer of this
-            run had already computed somewhere.
+        n_over_bound: Arrivals that were not sent because too many requests were in
+            flight.
+        hit_rate: Cached prompt tokens divided by prompt tokens, from the answers.
+        reusable_tokens: Prompt tokens of levels that some engine had computed for
+            an earlier answer of this run.
         recomputed_tokens: Reusable tokens that were computed again.
-        refusals: Count by reason.
+        refusals: Number of refusals by reason.
     """
 
     elapsed_seconds: float
@@ -70,23 +71,23 @@
 
     @property
     def exit_code(self) -> int:
-        """Return 0 for a clean audit that checked something, else 1."""
+        """Return 0 for an audit of at least one answer without violations, else 1."""
         return 0 if self.audit.is_clean and self.audit.n_answers else 1
 
 
 def make_histogram() -> HdrHistogram:
     """Return a histogram of microseconds up to ten minutes."""
-    return HdrHistogram(1, _LONGEST_MICROSECONDS, _SIGNIFICANT_DIGITS)
+    return HdrHistogram(1, _MAX_MICROSECONDS, _SIGNIFICANT_DIGITS)
 
 
 def record_seconds(histogram: HdrHistogram, seconds: float) -> None:
-    """Add one value; what lies past the range counts as its end."""
+    """Add one value, limited to the range of the histogram."""
     microseconds = max(1, int(seconds * _MICROSECONDS))
-    histogram.record_value(min(microseconds, _LONGEST_MICROSECONDS))
+    histogram.record_value(min(microseconds, _MAX_MICROSECONDS))
 
 
 def read_quantiles(histogram: HdrHistogram) -> Quantiles:
-    """Return the usual points of ``histogram``."""
+    """Return the reported quantiles of ``histogram``."""
     if not histogram.get_total_count():
         return Quantiles(0, 0.0, 0.0, 0.0, 0.0)
 
@@ -103,7 +104,7 @@
     n_sent: int,
     n_over_bound: int,
 ) -> LoadReport:
-    """Sum the records up."""
+    """Compute the report of a run from its records."""
     records = tuple(records)
     ttft, gaps, calls = make_histogram(), make_histogram(), make_histogram()
     counts: Counter[str] = Counter()
@@ -164,10 +165,10 @@
 
 
 class _Reuse:
-    """Counts which prompt tokens were computed although they had been before.
+    """Counts prompt tokens that were computed more than once.
 
-    The tokens of a level are estimated from its share of the prompt's
-    characters, because only the engine counts tokens.
+    The tokens of a level are estimated from its share of the prompt's characters,
+    because only the engine counts tokens.
     """
 
     def __init__(self) -> None:
@@ -179,7 +180,7 @@
         self._computed: set[tuple[str, str]] = set()
 
     def add(self, request: Completion, answer: Answered) -> None:
-        """Count one answer, in the order in which answers ended."""
+        """Add one answer; answers are added in the order in which they ended."""
         self.prompt_tokens += answer.prompt_tokens
         self.cached_tokens += answer.cached_tokens
         self.completion_tokens += answer.completion_tokens
@@ -204,7 +205,7 @@
 
 
 def render_table(report: LoadReport) -> str:
-    """Return the report for a person, ending in the verdict."""
+    """Return the report as a table that ends with the result of the audit."""
     findings = report.audit
     rows = [
         ("time", f"{report.elapsed_seconds:.1f} s"),
@@ -223,7 +224,7 @@
         ("answers audited", f"{findings.n_answers}, {_render_verdict(findings)}"),
     ]
     lines = [f"{name:<16}{value}" for name, value in rows]
-    for item in findings.violations[:SHOWN_VIOLATIONS]:
+    for item in findings.violations[:MAX_SHOWN_VIOLATIONS]:
         lines.append(
             f"  {item.fault.value}: request {item.number} "
             f"({item.request_id}): {item.detail}"
