--- a/lycheepost/platform/models/serverstandin.py
+++ b/lycheepost/platform/models/serverstandin.py
@@ -197,7 +197,7 @@
         self._timing = make_engine_timing(self.name, STANDIN_SPEEDS, SystemClock())
         for load in self._load_tasks:
             load.cancel()
-        self._server.cut_connections()
+        self._server.abort_connections()
 
     def freeze(self) -> None:
         """Stop responding on open connections for good; new connections work."""
@@ -284,7 +284,7 @@
 
     async def _health(self, request: web.Request) -> web.StreamResponse:
         self.n_health_checks += 1
-        await self._server.gate(request)
+        await self._server.block_if_frozen(request)
         status = 503 if self.is_leaving else 200
         return web.Response(status=status, headers=self._response_headers(request))
 
@@ -322,7 +322,7 @@
         self._load_tasks.add(task)
         task.add_done_callback(self._load_tasks.discard)
         if self.drops_order_answers:
-            self._server.cut_connection(request)
+            self._server.abort_connection(request)
         return web.Response(status=202, headers=self._notice_headers())
 
     async def _load(self, version: int) -> None:
@@ -331,7 +331,7 @@
         self.state.is_changing = False
 
     async def _run(self, request: web.Request) -> web.StreamResponse:
-        await self._server.gate(request)
+        await self._server.block_if_frozen(request)
         body = await request.read()
         refused = self._check(request)
         if refused is not None:
@@ -370,7 +370,7 @@
             headers[names.SEAL] = seal_of(text)
         match fault:
             case LostAnswer():
-                self._server.cut_connection(request)
+                self._server.abort_connection(request)
             case ServerFailure(status=status):
                 return web.Response(status=status, headers=headers, body=text)
             case Truncated():
@@ -378,7 +378,7 @@
                 response.content_length = len(text)
                 await response.prepare(request)
                 await response.write(text[: len(text) // 2])
-                self._server.cut_connection(request)
+                self._server.abort_connection(request)
                 return response
             case Encoded():
                 headers["Content-Encoding"] = "gzip"
@@ -436,7 +436,7 @@
             case Truncated(after_events=n) if number > n:
                 self.on_fault()
                 await response.write(event[: len(event) // 2])
-                self._server.cut_connection(request)
+                self._server.abort_connection(request)
                 return False
             case Silent(after_events=n) if number > n:
                 await asyncio.sleep(_HANG_SECONDS)
