--- a/features/peers/steps/socket_steps.py
+++ b/features/peers/steps/socket_steps.py
@@ -66,7 +66,7 @@
 
 
 def introduce(node, other, endpoint=""):
-    node.members.add_seed(other.name, endpoint or other.transport.endpoint)
+    node.members.add_configured_peer(other.name, endpoint or other.transport.endpoint)
 
 
 def start_linked(context, names, keys=None):
--- a/lycheepost/app/platformtraffic.py
+++ b/lycheepost/app/platformtraffic.py
@@ -186,7 +186,7 @@
     async def is_same_incarnation(sent_to: ListedTarget) -> bool:
         if notices.is_backed_off(sent_to.target):
             # It has asked for a pause, and has responded recently.
-            return targets.is_start(sent_to.start)
+            return targets.is_newest_start(sent_to.start)
         return await _is_same_start(targets, routing, orders, sent_to)
 
     deps = ForwardDeps(
@@ -280,11 +280,11 @@
         return False
     if group.engine is None or sent_to.started_ms is None:
         is_answering = await orders.is_answering(sent_to, group.health_path)
-        return is_answering and targets.is_start(sent_to.start)
+        return is_answering and targets.is_newest_start(sent_to.start)
     match await orders.read_report(sent_to):
         case Success(report):
             targets.note_start(TargetStart(sent_to.target, report.started_ms))
-            return targets.is_start(sent_to.start)
+            return targets.is_newest_start(sent_to.start)
         case Failure(error):
             _log.info("targets: no report", target=sent_to.target, reason=error.reason)
     return False
--- a/lycheepost/peers/shared.py
+++ b/lycheepost/peers/shared.py
@@ -142,7 +142,7 @@
         seed,
     )
     for peer in settings.peers.seeds:
-        members.add_seed(DaemonId(peer.daemon_id), peer.endpoint)
+        members.add_configured_peer(DaemonId(peer.daemon_id), peer.endpoint)
     exchange = make_peer_exchange(
         transport,
         members,
--- a/lycheepost/state/claim_completion.py
+++ b/lycheepost/state/claim_completion.py
@@ -1,4 +1,6 @@
-"""Completion of claims: with a stored answer, as released, or as unkept.
+"""Completion of claims: with a stored answer, as released, or without an answer.
+
+A claim that ended without a stored answer is ``UNKEPT``.
 
 While the store is down, the final row is written in the background. Until it is
 written, this daemon answers resends from memory.
@@ -31,8 +33,9 @@
 """Larger answers go to the object store. A batch of 64 answers of this size is half a
 megabyte, which fits in one transaction."""
 _MAX_UNSTORED_BYTES = 8 * 1024 * 1024
-"""Limit on the memory for answers held while the store is down. Above it the oldest are
-dropped, and their resends are answered "undetermined"."""
+"""Limit on the memory for answers held while the store is down. While it is exceeded,
+an answer whose write fails is dropped, and once the store is up again its resends
+through this daemon are answered "undetermined"."""
 _RETRY_PAUSE_SECONDS = 1.0
 _log = structlog.get_logger(part="claims")
 
@@ -46,7 +49,7 @@
 
     Attributes:
         attempt: The row that this daemon writes or wrote, and the version on which the
-            write is conditioned.
+            write is conditioned. Until ``claim`` has returned it, it grants nothing.
         answer: The answer that is not stored yet.
         is_fencing: Whether the claim is being released as not run.
         is_unknown: Whether the call has ended without an answer and may have run.
@@ -149,7 +152,10 @@
         return False
 
     async def _complete_at_moved_version(self, claim: Granted, row: ClaimRow) -> bool:
-        """Write at the version that an earlier own write has given the row."""
+        """Write again after a conflict, on the row's current version.
+
+        This is done only if an earlier write of this claim has changed the version.
+        """
         found = await self._read_row(claim.key)
         if isinstance(found, Failure):
             return False
--- a/lycheepost/state/claim_rows.py
+++ b/lycheepost/state/claim_rows.py
@@ -19,7 +19,7 @@
 CLAIM_PREFIX = "claim/"
 ANSWER_PREFIX = "answers/"
 N_SHARDS = 64
-"""Number of key ranges for claims; each has its own expiry pass."""
+"""Number of key ranges for claims; the expiry duty processes them in turn."""
 
 
 class ClaimState(Enum):
@@ -114,7 +114,10 @@
 
 @dataclass(frozen=True)
 class ClaimError(StateError):
-    """The claim could not be made; the call has reached no target."""
+    """Making or completing a claim failed.
+
+    Returned by ``claim``, it means that this attempt has not run the call.
+    """
 
 
 @dataclass(frozen=True)
--- a/lycheepost/state/claims.py
+++ b/lycheepost/state/claims.py
@@ -59,6 +59,7 @@
 
 _MAX_CLAIM_ATTEMPTS = 4
 _EXPECTED_DAEMONS = 7
+"""Assumed number of daemons if the caller states none: that of current deployments."""
 _log = structlog.get_logger(part="claims")
 
 OwnerIsLive = Callable[[DaemonId, str], bool]
@@ -338,8 +339,8 @@
         owner_is_live: Returns whether a daemon with this boot id still runs; if None,
             no other daemon counts as live.
         boot: Unique for each start of the daemon; generated if empty.
-        n_daemons: Returns how many daemons share the table's writes; if None, the
-            number in current deployments.
+        n_daemons: Returns how many daemons share the table's writes; if None,
+            ``_EXPECTED_DAEMONS``.
     """
     return ClaimManager(
         table,
--- a/lycheepost/state/duties.py
+++ b/lycheepost/state/duties.py
@@ -36,7 +36,7 @@
         duty: Name of the duty.
         is_candidate: Returns whether this daemon is currently a candidate.
         work: Called repeatedly while the lease is held, with a function that returns
-            the newest lease, to be called before each order.
+            the newest lease, to be called before each order to a target.
         period_seconds: Time between calls of ``work``; less than half a lease.
         clock: The clock of the leases.
         seed: Seed of the jitter.
--- a/lycheepost/state/errors.py
+++ b/lycheepost/state/errors.py
@@ -8,7 +8,10 @@
 
 @dataclass(frozen=True)
 class StateError(LycheepostError):
-    """Reading or changing the shared state failed; nothing was changed."""
+    """Reading or changing the shared state failed.
+
+    Nothing was changed unless the subclass says otherwise.
+    """
 
 
 @dataclass(frozen=True)
--- a/lycheepost/state/feedmirror.py
+++ b/lycheepost/state/feedmirror.py
@@ -11,14 +11,14 @@
 
 MAX_STEPS = 256
 """Responses of the store whose changes are kept separately. A peer that is further
-behind gets the whole table; peers send two requests a second."""
+behind gets the whole table; a peer requests each table about two times a second."""
 
 MAX_AGE_SECONDS = 2.4
 """A copy that was not confirmed for longer is not forwarded. A daemon that polls the
-store gets a confirmation every 0.8 s; a peer that polls this daemon gets it within
-another 0.6 s, and a peer one more hop away within 1.2 s. The remainder covers the
-failure of an intermediate daemon: it is replaced after 0.9 s, and until then the
-daemons behind it need not read the store."""
+store gets a confirmation every 0.8 s. A peer that polls this daemon gets it within
+another 0.6 s, for which a request is held while there is no change, and a peer one more
+hop away within 1.2 s. The remainder covers the failure of an intermediate daemon: it is
+replaced after 0.9 s, and until then the daemons behind it need not read the store."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,6 +36,7 @@
     Attributes:
         version: The store's version at the last response; None while the copy is
             incomplete.
+        _base_version: Oldest version after which all changes are kept.
         is_lost: Whether the store did not respond to the last request.
     """
 
--- a/lycheepost/state/leases.py
+++ b/lycheepost/state/leases.py
@@ -7,10 +7,11 @@
 a margin earlier.
 
 The fencing number increases by one with each new holder, in the transaction that
-acquires the lease, and is sent with every order. Targets that check it refuse late
-orders. For targets that ignore it, the holder calls ``is_held`` before each order,
-using a clock that includes time spent suspended, and the next holder waits until the
-old lease has expired.
+acquires the lease, and is sent with every order. An order is a command that the holder
+of a duty sends to a target. Targets that check the number refuse late orders. For
+targets that ignore it, the holder calls ``is_held`` before each order, using a clock
+that includes time spent suspended, and the next holder waits until the old lease has
+expired.
 """
 
 import math
@@ -86,13 +87,15 @@
 
     Attributes:
         token: The same for all renewals of a lease; empty when it was released.
-        attempt: Unique for each write. A holder whose response was lost could
-            otherwise mistake an earlier renewal, read back, for the latest one and
-            count its lease from too late.
-        rest_seconds: In a released row: how long after the release no other daemon
-            may send orders, because of orders of this holder and earlier ones.
-        inherited_rest_seconds: The same for this holder, because of orders of
-            earlier holders.
+        attempt: Unique for each write. A holder that lost a response reads the row
+            back; without this it could take the row of an earlier renewal for that of
+            its latest one and assume that its lease ends later than it does.
+        rest_seconds: In a released row: how long another daemon that acquires the
+            lease may send no orders, because of orders of this holder and earlier
+            ones. Counted from the acquisition, as the row holds no time.
+        inherited_rest_seconds: In a released row: how long the same daemon may send no
+            orders if it acquires the lease again, because of orders of earlier
+            holders. Counted in the same way.
     """
 
     holder: DaemonId
@@ -115,8 +118,8 @@
         orders_from_seconds: Earliest time at which this holder may send orders: the
             previous holder may have sent its last order when it released the lease.
         others_order_from_seconds: Earliest time at which another daemon may send
-            orders: an earlier start of this daemon released the lease after sending
-            orders.
+            orders. Set if this daemon, possibly an earlier start of it, had released
+            the lease after sending orders and has acquired it again.
     """
 
     duty: str
@@ -274,9 +277,9 @@
     ) -> Result[None, LeaseError]:
         """Release the lease, so that another daemon need not wait for it to expire.
 
-        The next holder pauses only for the remainder of the rest after the last order.
-        If each pause lasted the full time, no daemon would ever send orders while all
-        daemons are restarted in turn.
+        Before its first order, the next holder waits only for what remains of
+        ``rest_seconds`` since the last order. If each wait lasted the full time, no
+        daemon would ever send orders while all daemons are restarted in turn.
 
         Args:
             lease: The lease.
--- a/lycheepost/state/members.py
+++ b/lycheepost/state/members.py
@@ -226,13 +226,13 @@
         return max(1, sum(member.state in live for member in self._members.values()))
 
     def owner_is_live(self, daemon: DaemonId, boot: str) -> bool:
-        """Return whether this incarnation of a daemon still runs, as far as known."""
+        """Return whether this start of a daemon still runs, as far as known."""
         member = self._members.get(daemon)
         if member is None or member.state is MemberState.GONE:
             return False
         return not member.boot or member.boot == boot
 
-    def add_seed(self, daemon: DaemonId, endpoint: str) -> None:
+    def add_configured_peer(self, daemon: DaemonId, endpoint: str) -> None:
         """Add a peer from the settings, to contact before any other is known."""
         if daemon != self._me.daemon and daemon not in self._members:
             zone = AvailabilityZone("")
@@ -290,7 +290,7 @@
             return
         suspected = replace(known, state=MemberState.SUSPECT)
         self._put(suspected)
-        _log.info("members: suspect", daemon=daemon)
+        _log.info("members: daemon does not respond", daemon=daemon)
         for callback in self._on_member:
             callback(suspected)
 
--- a/lycheepost/state/namedweights.py
+++ b/lycheepost/state/namedweights.py
@@ -23,8 +23,8 @@
 
 OLD_WEIGHTS_PENALTY_SECONDS = 0.15
 """After the grace period a response with old weights is worth a fifth less to the
-caller: the same loss as the risk of missing the objective of half a second when waiting
-this much longer."""
+caller. Waiting this much longer costs the caller as much on average, by the risk of
+missing an objective of half a second."""
 
 UNKNOWN_NAMING_GRACE_SECONDS = 2.5
 """How long a newly started daemon serves weights that it finds outdated, as it does not
--- a/lycheepost/state/routing.py
+++ b/lycheepost/state/routing.py
@@ -1,8 +1,9 @@
 """The route table in force in this daemon.
 
-Versions only increase, whatever the source: a late table, from an overtaken store
-response or from a peer that is behind, is ignored. Before the first table, requests
-cannot be answered with "not found" or "key unknown".
+Versions only increase, whatever the source: a late table, from a store response that
+arrived after a newer one or from a peer that is behind, is ignored. Before the first
+table is known, requests must not be answered with "not found" or "key unknown", since
+the route or key may exist.
 """
 
 from collections.abc import Callable
--- a/lycheepost/state/signals.py
+++ b/lycheepost/state/signals.py
@@ -83,8 +83,9 @@
 class SignalBook:
     """The newest bad signal of each source for each target.
 
-    A signal that a target serves clears the bad one of its source and is not stored:
-    with 12,000 targets, only the few with a bad signal may cost time in each pass.
+    A signal is bad if its state is not ``SERVING``. A ``SERVING`` signal removes the
+    bad signal of the same source and is not stored: with 12,000 targets, only the few
+    with a bad signal may cost time in each pass.
     """
 
     def __init__(self) -> None:
--- a/lycheepost/state/targetlist.py
+++ b/lycheepost/state/targetlist.py
@@ -43,8 +43,8 @@
 WEIGHTS_CHANGE_TIMEOUT_SECONDS = 2.5
 """A target that was ordered to change its weights is used again after this time even
 without a report of completion: the daemon that would report may have died or be
-disconnected. Twice the duration of a change; a target that is still changing its
-weights responds with that."""
+disconnected. It is twice the duration of a change. A target that is still changing its
+weights then says so in its response."""
 
 CROSS_ZONE_PENALTY_SECONDS = 0.004
 """Cost of a target in another availability zone: one round trip for the connection and
@@ -301,14 +301,17 @@
         known.listed = replace(known.listed, is_leaving=True)
         self.refresh()
 
-    def is_start(self, start: TargetStart) -> bool:
-        """Return whether a start is the newest known one of its target."""
+    def is_newest_start(self, start: TargetStart) -> bool:
+        """Return whether no later start of the target is known."""
         return not self._starts.is_old(start)
 
     def _upgrade(
         self, known: _TargetRecord, weights: Mapping[ModelId, WeightsVersion]
     ) -> None:
-        """Record weights that are newer than the known ones; late reports are not."""
+        """Record those weights that are newer than the known ones.
+
+        Older ones are ignored here, as they are usually late reports.
+        """
         current = known.weights or {}
         newer = {
             model: version
@@ -342,7 +345,7 @@
             target=known.listed.target,
             model=model,
             version=version,
-            believed=current.get(model),
+            recorded=current.get(model),
         )
         known.weights = {**current, model: version}
         known.weights_changed_seconds = now_seconds
@@ -420,7 +423,7 @@
             return
         health = self._health.setdefault(known.listed.target_group, TargetHealth())
         if health.observe(target, ending, self._clock.now_seconds()):
-            _log.info("targets: backing off", target=target, ending=ending.value)
+            _log.info("targets: ejected", target=target, ending=ending.value)
             self.refresh()
 
     def note_other_at_address(self, target: TargetId) -> None:
@@ -436,7 +439,7 @@
         now_seconds = self._clock.now_seconds()
         self._forget_gone(now_seconds)
         self._newest = self._find_newest()
-        ejected = self._backing_off(now_seconds)
+        ejected = self._ejected(now_seconds)
         views = tuple(
             self._view(known, name in ejected, now_seconds)
             for name, known in sorted(self._known.items())
@@ -463,7 +466,7 @@
         for health in self._health.values():
             health.forget(self._known)
 
-    def _backing_off(self, now_seconds: float) -> set[TargetId]:
+    def _ejected(self, now_seconds: float) -> set[TargetId]:
         ejected: set[TargetId] = set()
         for group, health in self._health.items():
             names = [
@@ -489,12 +492,11 @@
         )
 
     def _view(
-        self, known: _TargetRecord, is_backing_off: bool, now_seconds: float
+        self, known: _TargetRecord, is_ejected: bool, now_seconds: float
     ) -> TargetView:
         condition = TargetCondition(
             weights=known.weights or {},
-            is_excluded=is_backing_off
-            or self._has_unusable_weights(known, now_seconds),
+            is_excluded=is_ejected or self._has_unusable_weights(known, now_seconds),
             penalty_seconds=self._penalty_seconds(known, now_seconds),
         )
         return make_view(known.listed, condition, self._table)
--- a/lycheepost/state/targetstates.py
+++ b/lycheepost/state/targetstates.py
@@ -27,7 +27,8 @@
 
     def __init__(self) -> None:
         self._signals = SignalBook()
-        self._desired_of: dict[TargetId, Target] = {}
+        # The targets from which ``_desired`` was computed.
+        self._desired_source: dict[TargetId, Target] = {}
         self._desired: dict[TargetId, TargetState] = {}
         self._notified_seconds: dict[tuple[TargetId, TargetState], float] = {}
         self._on_signal: list[OnTargetSignal] = []
@@ -44,8 +45,8 @@
         The desired states are computed once per configuration: this method is called
         several times a second, and few of 12,000 targets have a bad signal.
         """
-        if targets is not self._desired_of:
-            self._desired_of = targets
+        if targets is not self._desired_source:
+            self._desired_source = targets
             self._desired = {
                 name: state_of_desired(target.desired_state)
                 for name, target in targets.items()
