--- a/lycheepost/commands/bench.py
+++ b/lycheepost/commands/bench.py
@@ -1,4 +1,4 @@
-"""``lycheepost bench``: measurements with their baselines in the same run."""
+"""``lycheepost bench``: measure policies and costs beside a baseline."""
 
 import json
 import pathlib
@@ -48,36 +48,34 @@
     for name in names:
         if name not in known:
             raise typer.BadParameter(
-                f"{name}: not one of {', '.join(known)}", param_hint=option
+                f"{name}: must be one of {', '.join(known)}", param_hint=option
             )
 
 
 @app.command()
 def policy(
     deployment: Annotated[
-        list[str], typer.Option(help="prairie or mercia; all when missing.")
+        list[str], typer.Option(help="prairie or mercia; all if omitted.")
     ] = [],  # noqa: B006
-    scenario: Annotated[
-        list[str], typer.Option(help="Scenario; all when missing.")
-    ] = [],  # noqa: B006
-    policy: Annotated[list[str], typer.Option(help="Policy; all when missing.")] = [],  # noqa: B006
+    scenario: Annotated[list[str], typer.Option(help="Scenario; all if omitted.")] = [],  # noqa: B006
+    policy: Annotated[list[str], typer.Option(help="Policy; all if omitted.")] = [],  # noqa: B006
     seed: Annotated[
-        list[int], typer.Option(help="Seed of the demand; repeat for several.")
+        list[int], typer.Option(help="Seed of the demand; may be repeated.")
     ] = [1],  # noqa: B006
     as_json: Annotated[
         bool, typer.Option("--json", help="Print a list of records.")
     ] = False,
     check: Annotated[
-        bool, typer.Option(help="Print each target, met or missed.")
+        bool, typer.Option(help="Print whether each target is met.")
     ] = False,
     capacity: Annotated[
-        bool, typer.Option(help="Only print what the engines complete per second.")
+        bool, typer.Option(help="Only print the engines' capacity in requests/s.")
     ] = False,
     plots: Annotated[
-        pathlib.Path | None, typer.Option(help="Write plots into this folder.")
+        pathlib.Path | None, typer.Option(help="Write plots to this directory.")
     ] = None,
 ) -> None:
-    """Compare policies in virtual time on the engine model."""
+    """Compare policies on the engine model, in virtual time."""
     _check_names(deployment, list(DEPLOYMENTS), "--deployment")
     _check_names(scenario, list(SCENARIOS), "--scenario")
     _check_names(policy, list(POLICIES), "--policy")
@@ -113,7 +111,7 @@
         bool, typer.Option("--json", help="Print a list of records.")
     ] = False,
 ) -> None:
-    """Measure the cost of one decision by the number of servers."""
+    """Measure the cost of one routing decision by the number of servers."""
     records = measure_decisions(seed)
     if as_json:
         print(json.dumps([record.to_dict() for record in records], indent=1))
@@ -136,8 +134,8 @@
         bool, typer.Option("--json", help="Print a list of records.")
     ] = False,
 ) -> None:
-    """Measure how the costs of a daemon's parts grow with their sizes."""
-    # Standard output is for the records alone.
+    """Measure how the costs of a daemon's components grow with their sizes."""
+    # Keeps log lines out of standard output, which carries only the records.
     configure_logs(LogSettings(level=LogLevel.ERROR))
     records = measure_slopes() + measure_daemon_slopes()
     if as_json:
--- a/lycheepost/commands/benchbackoff.py
+++ b/lycheepost/commands/benchbackoff.py
@@ -1,4 +1,4 @@
-"""``lycheepost bench backoff``: ways to keep the back-offs that targets ask for."""
+"""``lycheepost bench backoff``: compare ways to honour back-off requests."""
 
 import json
 from typing import Annotated
@@ -9,12 +9,14 @@
 
 
 def backoff(
-    seeds: Annotated[int, typer.Option(min=1, help="Seeds, from 1 on.")] = 20,
+    seeds: Annotated[
+        int, typer.Option(min=1, help="Number of seeds, counted from 1.")
+    ] = 20,
     as_json: Annotated[
         bool, typer.Option("--json", help="Print a list of records.")
     ] = False,
 ) -> None:
-    """Compare ways to keep the back-offs that targets ask daemons for."""
+    """Compare ways to honour the back-offs that targets request."""
     records = list(measure_backoffs(tuple(range(1, seeds + 1))))
     if as_json:
         print(json.dumps([record.to_dict() for record in records], indent=1))
--- a/lycheepost/commands/benchcapacity.py
+++ b/lycheepost/commands/benchcapacity.py
@@ -1,4 +1,4 @@
-"""``lycheepost bench capacity``: check capacity intents in random runs."""
+"""``lycheepost bench capacity``: check capacity intents in randomized runs."""
 
 import json
 from dataclasses import asdict
@@ -13,15 +13,15 @@
 
 
 def capacity(
-    runs: Annotated[int, typer.Option(help="Seeded random runs.")] = 200,
+    runs: Annotated[int, typer.Option(help="Number of randomized runs.")] = 200,
     first_seed: Annotated[int, typer.Option(help="Seed of the first run.")] = 0,
     as_json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ) -> None:
-    """Check capacity intents under suspended holders, crashes and lost answers.
+    """Check capacity intents under suspended lease holders, crashes and lost answers.
 
-    Exit codes: 0 no promise was broken, 1 one was; its seed repeats the run.
+    Exit codes: 0 no guarantee was violated, 1 one was; its seed repeats the run.
     """
-    # Thousands of runs log each fault they provoke.
+    # Drops log lines: thousands of runs would log every injected fault.
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     summary = CapacitySummary()
     for run in run_capacity_checks(range(first_seed, first_seed + runs)):
@@ -34,13 +34,13 @@
 
 def capacity_look(
     sizes: Annotated[
-        list[int], typer.Option("--targets", help="Fleet size; repeat for several.")
+        list[int], typer.Option("--targets", help="Number of targets; repeatable.")
     ] = [750, 3000, 12000],  # noqa: B006
     as_json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ) -> None:
-    """Measure what one look of the capacity duty costs, by fleet size.
+    """Measure the cost of one poll of the capacity duty, by fleet size.
 
-    Exit code 0 when it has measured.
+    Exit code 0 after the measurement.
     """
     records = measure_looks(tuple(sizes))
     if as_json:
@@ -48,7 +48,7 @@
         return
     for record in records:
         typer.echo(
-            f"{record.n_targets} targets: {record.quiet_ms} ms a look,"
+            f"{record.n_targets} targets: {record.quiet_ms} ms per poll,"
             f" {record.rollout_ms} ms during a rollout,"
             f" {record.core_share:.2%} of a core"
         )
--- a/lycheepost/commands/benchcontrol.py
+++ b/lycheepost/commands/benchcontrol.py
@@ -10,47 +10,51 @@
 from lycheepost.bench.control import measure_control, to_document
 from lycheepost.bench.leasechaos import measure_leases
 
-_QUIET_LEVEL = 40
+_ERROR_LOG_LEVEL = 40
 
 
 def control(
-    seed: Annotated[int, typer.Option(help="Seed of all jitter.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of the jitter.")] = 1,
     size: Annotated[
-        list[int], typer.Option(help="Fleet size to measure; repeat for a slope.")
+        list[int], typer.Option(help="Fleet size; repeat to measure the growth.")
     ] = [20, 60, 180],  # noqa: B006
-    herd: Annotated[int, typer.Option(help="Daemons that restart together.")] = 540,
+    herd: Annotated[
+        int, typer.Option(help="Number of daemons that restart at once.")
+    ] = 540,
     as_json: Annotated[
         bool, typer.Option("--json", help="Print a list of records.")
     ] = False,
 ) -> None:
-    """Measure the shared state: speed of a change, costs, a herd, an outage."""
+    """Measure the shared state: propagation, costs, a mass restart, an outage."""
     _log_errors_only()
     records = measure_control(seed, tuple(size), herd)
     _print([to_document(record) for record in records], as_json)
 
 
 def leases(
-    runs: Annotated[int, typer.Option(help="Seeded random runs of each case.")] = 1000,
+    runs: Annotated[
+        int, typer.Option(help="Number of randomized runs of each case.")
+    ] = 1000,
     seed: Annotated[int, typer.Option(help="Seed of the first run.")] = 1,
     as_json: Annotated[
         bool, typer.Option("--json", help="Print a list of records.")
     ] = False,
 ) -> None:
-    """Look for orders out of turn; exit 1 when our own policy let one pass.
+    """Count orders out of turn; exit 1 if the policy "lycheepost" allowed one.
 
-    Runs in which a pause strikes between the look at the lease and the write to
-    the socket are counted apart: there only targets that check fencing refuse.
+    Runs that pause between the check of the lease and the write to the socket are
+    counted separately: only targets that check fencing numbers refuse these orders.
     """
     _log_errors_only()
     records = measure_leases(runs, seed)
     _print([asdict(record) for record in records], as_json)
-    ours = [record for record in records if record.policy == "lycheepost"]
+    own_records = [record for record in records if record.policy == "lycheepost"]
     is_broken = any(
         record.n_out_of_turn_checking
         or record.n_doubled_numbers
         or record.n_left_unrepaired
         or (record.n_out_of_turn_ignoring and not record.hits_window)
-        for record in ours
+        for record in own_records
     )
     raise typer.Exit(1 if is_broken else 0)
 
@@ -64,5 +68,5 @@
 
 
 def _log_errors_only() -> None:
-    wrapper = structlog.make_filtering_bound_logger(_QUIET_LEVEL)
+    wrapper = structlog.make_filtering_bound_logger(_ERROR_LOG_LEVEL)
     structlog.configure(wrapper_class=wrapper)
--- a/lycheepost/commands/benchlimit.py
+++ b/lycheepost/commands/benchlimit.py
@@ -1,4 +1,4 @@
-"""``lycheepost bench limit``: ways to hold a fleet to the limit of a target."""
+"""``lycheepost bench limit``: compare ways to keep a target's rate limit."""
 
 import json
 from typing import Annotated
@@ -9,12 +9,14 @@
 
 
 def limit(
-    seeds: Annotated[int, typer.Option(min=1, help="Seeds, from 1 on.")] = 20,
+    seeds: Annotated[
+        int, typer.Option(min=1, help="Number of seeds, counted from 1.")
+    ] = 20,
     as_json: Annotated[
         bool, typer.Option("--json", help="Print a list of records.")
     ] = False,
 ) -> None:
-    """Compare ways to hold to the requests a second that a target names."""
+    """Compare ways for a fleet to keep to a target's limit of requests per second."""
     records = list(measure_limits(tuple(range(1, seeds + 1))))
     if as_json:
         print(json.dumps([record.to_dict() for record in records], indent=1))
--- a/lycheepost/commands/benchquota.py
+++ b/lycheepost/commands/benchquota.py
@@ -1,4 +1,4 @@
-"""``lycheepost bench quota``: ways to hold customers to a quota over a fleet."""
+"""``lycheepost bench quota``: compare ways to enforce quotas in a fleet."""
 
 import json
 from typing import Annotated
@@ -9,16 +9,16 @@
 
 
 def quota(
-    daemons: Annotated[int, typer.Option(min=1, help="Daemons that serve.")] = 10,
-    customers: Annotated[int, typer.Option(min=3, help="Customers.")] = 16,
+    daemons: Annotated[int, typer.Option(min=1, help="Number of daemons.")] = 10,
+    customers: Annotated[int, typer.Option(min=3, help="Number of customers.")] = 16,
     seed: Annotated[
-        list[int], typer.Option(help="Seed of the demand; repeat for several.")
+        list[int], typer.Option(help="Seed of the demand; may be repeated.")
     ] = [1],  # noqa: B006
     as_json: Annotated[
         bool, typer.Option("--json", help="Print a list of records.")
     ] = False,
 ) -> None:
-    """Compare ways to hold customers to their quotas, under load and faults."""
+    """Compare ways to enforce customers' quotas, under load and faults."""
     records = list(measure_quotas(daemons, customers, seed))
     if as_json:
         print(json.dumps([record.to_dict() for record in records], indent=1))
--- a/lycheepost/commands/benchrelay.py
+++ b/lycheepost/commands/benchrelay.py
@@ -1,4 +1,4 @@
-"""``lycheepost bench relay``: the cost of relaying beside a plain relay."""
+"""``lycheepost bench relay``: compare the cost of relaying with a plain relay."""
 
 import json
 from dataclasses import asdict
@@ -17,19 +17,23 @@
 
 
 def relay(
-    n_streams: Annotated[int, typer.Option(help="Open streams, throughput.")] = 1980,
+    n_streams: Annotated[
+        int, typer.Option(help="Open streams, throughput run.")
+    ] = 1980,
     n_latency_streams: Annotated[
-        int, typer.Option(help="Open streams, latency.")
+        int, typer.Option(help="Open streams, latency run.")
     ] = 200,
-    seconds: Annotated[float, typer.Option(help="Length of each window.")] = 8.0,
+    seconds: Annotated[float, typer.Option(help="Duration of each window.")] = 8.0,
     as_json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
-    source_port: Annotated[int, typer.Option(help="Of relay-source.")] = SOURCE_PORT,
-    sink_port: Annotated[int, typer.Option(help="Of relay-sink.")] = SINK_PORT,
+    source_port: Annotated[
+        int, typer.Option(help="Port of relay-source.")
+    ] = SOURCE_PORT,
+    sink_port: Annotated[int, typer.Option(help="Port of relay-sink.")] = SINK_PORT,
 ) -> None:
-    """Measure what relaying a stream costs.
+    """Measure the cost of relaying streams.
 
-    Start `lycheepost bench relay-source` and `relay-sink` first, each in a terminal
-    of its own. Exit code 3 when one of them does not answer.
+    Start `lycheepost bench relay-source` and `relay-sink` first, in separate
+    terminals. Exit code 3 when one of them does not answer.
     """
     settings = RelayBenchSettings(
         n_streams=n_streams,
@@ -50,28 +54,28 @@
 
 
 def relay_source(
-    port: Annotated[int, typer.Option(help="Where to listen.")] = SOURCE_PORT,
+    port: Annotated[int, typer.Option(help="Port to listen on.")] = SOURCE_PORT,
 ) -> None:
     """Serve paced streams for the relay bench until stopped."""
     uvloop.run(Source().run(port))
 
 
 def relay_sink(
-    port: Annotated[int, typer.Option(help="Where to listen.")] = SINK_PORT,
+    port: Annotated[int, typer.Option(help="Port to listen on.")] = SINK_PORT,
 ) -> None:
-    """Read streams for the relay bench, as it asks, until stopped."""
+    """Read streams on request of the relay bench until stopped."""
     uvloop.run(serve_sink(port))
 
 
 def _describe(record: RelayRecord) -> str:
-    """Return one line of the table."""
+    """Format a record as one line."""
     parts = [
         f"{record.run:<10} {record.relay:<10} {record.n_streams:>5} streams",
         f"{record.tokens_per_second:>8.0f} tokens/s",
         f"{record.requests_per_second:>6.1f} requests/s",
     ]
     if record.tokens_per_core_second is not None:
-        parts.append(f"{record.tokens_per_core_second:>8.0f} tokens/s a core")
+        parts.append(f"{record.tokens_per_core_second:>8.0f} tokens/s per core")
     if record.core_share is not None:
         parts.append(f"{record.core_share:>5.2f} of a core")
     parts.append(f"first token p99 {record.ttft_p99_seconds * 1000:.2f} ms")
