--- a/lycheepost/commands/demo.py
+++ b/lycheepost/commands/demo.py
@@ -1,4 +1,4 @@
-"""``lycheepost demo``: a whole deployment in one process, driven and audited."""
+"""``lycheepost demo``: run and audit a deployment in one process."""
 
 import asyncio
 import json
@@ -32,21 +32,23 @@
 
 def demo(
     seconds: Annotated[
-        float, typer.Option(min=1, max=3600, help="How long traffic is sent.")
+        float, typer.Option(min=1, max=3600, help="Duration of the traffic.")
     ] = DEFAULT_SECONDS,
     rate: Annotated[
-        float, typer.Option(min=0.1, max=500, help="Requests a second at the peak.")
+        float, typer.Option(min=0.1, max=500, help="Requests per second at the peak.")
     ] = RATE_PER_SECOND,
     seed: Annotated[int, typer.Option(min=0, help="Seed of the traffic.")] = 1,
     keep: Annotated[
-        bool, typer.Option("--keep", help="Send nothing; stay up until a signal.")
+        bool, typer.Option("--keep", help="Send no traffic; run until a signal.")
     ] = False,
     kill_engine: Annotated[
         bool, typer.Option("--kill-engine", help="Crash an engine under traffic.")
     ] = False,
     settings_file: Annotated[
         pathlib.Path | None,
-        typer.Option("--settings", help="Take limits, objectives and streams of this."),
+        typer.Option(
+            "--settings", help="File whose limits, objectives, streams apply."
+        ),
     ] = None,
     json_output: Annotated[
         bool, typer.Option("--json", help="Print JSON lines instead of text.")
@@ -58,33 +60,33 @@
 ) -> None:
     """Run stand-ins and three daemons in one process and send mixed traffic.
 
-    Exit code 0 only if every answer was whole, in order and its caller's own,
-    and no non-idempotent call ran twice; 1 otherwise.
+    Exit code 0 only if every answer was complete, in order and delivered to its own
+    caller, and no non-idempotent call ran twice; 1 otherwise.
     """
     configure_logs(LogSettings(level=LogLevel.ERROR, format=LogFormat.CONSOLE))
     if platform:
-        plan_there = PlatformDemoPlan(seconds, rate, seed)
-        raise typer.Exit(uvloop.run(_drive_platform(plan_there, json_output)))
-    settings = _read_base(settings_file)
+        platform_plan = PlatformDemoPlan(seconds, rate, seed)
+        raise typer.Exit(uvloop.run(_run_on_platform(platform_plan, json_output)))
+    settings = _read_base_settings(settings_file)
     plan = DemoPlan(seconds, rate, seed, kill_engine, settings)
     if keep:
-        uvloop.run(_keep(plan, json_output))
+        uvloop.run(_run_until_signal(plan, json_output))
         return
-    raise typer.Exit(uvloop.run(_drive(plan, json_output)))
+    raise typer.Exit(uvloop.run(_run_with_traffic(plan, json_output)))
 
 
-async def _drive_platform(plan: PlatformDemoPlan, json_output: bool) -> int:
+async def _run_on_platform(plan: PlatformDemoPlan, json_output: bool) -> int:
     report = await run_platform_demo(plan)
-    described = report.describe()
+    results = report.describe()
     if json_output:
-        print(json.dumps(described))
+        print(json.dumps(results))
     else:
-        for name, value in described.items():
+        for name, value in results.items():
             print(f"{name}: {value}")
     return ExitCode.FAILED if report.violations else ExitCode.OK
 
 
-def _read_base(settings_file: pathlib.Path | None) -> Settings | None:
+def _read_base_settings(settings_file: pathlib.Path | None) -> Settings | None:
     if settings_file is None:
         return None
     match read_settings(settings_file):
@@ -95,7 +97,7 @@
     raise AssertionError("a result is a success or a failure")
 
 
-async def _keep(plan: DemoPlan, json_output: bool) -> None:
+async def _run_until_signal(plan: DemoPlan, json_output: bool) -> None:
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -105,7 +107,7 @@
         await stopped.wait()
 
 
-async def _drive(plan: DemoPlan, json_output: bool) -> int:
+async def _run_with_traffic(plan: DemoPlan, json_output: bool) -> int:
     async with run_fleet(demo_shape(), plan.settings) as fleet:
         _print_fleet(fleet, json_output)
         report = await run_demo(fleet, plan, _print_progress)
@@ -117,13 +119,13 @@
     if json_output:
         print(encode_description(fleet), flush=True)
         return
-    about = fleet.describe()
-    print("Addresses: " + " ".join(about["base_urls"]))
-    print("Models: " + " ".join(about["models"]))
-    print("Plain services: " + " ".join(about["services"]))
-    for customer, key in about["keys"].items():
+    description = fleet.describe()
+    print("Addresses: " + " ".join(description["base_urls"]))
+    print("Models: " + " ".join(description["models"]))
+    print("Plain services: " + " ".join(description["services"]))
+    for customer, key in description["keys"].items():
         print(f"Key of {customer}: {key}")
-    print(f"Operator key: {about['operator_key']}", flush=True)
+    print(f"Operator key: {description['operator_key']}", flush=True)
 
 
 def _print_progress(progress: Progress) -> None:
--- a/lycheepost/commands/explain.py
+++ b/lycheepost/commands/explain.py
@@ -1,4 +1,4 @@
-"""``lycheepost explain``: from a request's id to the cause of its end."""
+"""``lycheepost explain``: find out why a request ended as it did."""
 
 import json
 import pathlib
@@ -12,22 +12,22 @@
 from lycheepost.report.explain import Explanation, LogLine
 from lycheepost.report.explain import explain as explain_lines
 
-_SHOWN_FIRST = ("timestamp", "daemon_id", "event")
+_LEADING_FIELDS = ("timestamp", "daemon_id", "event")
 
 
 def explain(
-    request_id: Annotated[str, typer.Argument(help="The id its caller gave it.")],
+    request_id: Annotated[str, typer.Argument(help="Request id from the caller.")],
     logs: Annotated[
         list[pathlib.Path] | None,
-        typer.Argument(help="Log files of any daemons; standard input when none."),
+        typer.Argument(help="Log files of daemons; standard input if omitted."),
     ] = None,
     json_output: Annotated[
         bool, typer.Option("--json", help="Print one JSON object.")
     ] = False,
 ) -> None:
-    """Gather the log lines of one request and say why it ended as it did.
+    """Show the log lines of one request and the cause of its end.
 
-    Exit code 0 when lines were found, 1 when none names the request, 2 when a file
+    Exit code 0 when lines were found, 1 when none contains the id, 2 when a file
     cannot be read.
     """
     found = explain_lines(_read(logs or []), request_id)
@@ -58,8 +58,8 @@
 
 
 def _describe(line: LogLine) -> str:
-    first = " ".join(line.text(name) for name in _SHOWN_FIRST)
-    hidden = (*_SHOWN_FIRST, "request_id", "part", "level")
+    first = " ".join(line.text(name) for name in _LEADING_FIELDS)
+    hidden = (*_LEADING_FIELDS, "request_id", "part", "level")
     rest = [
         f"{name}={value}" for name, value in line.fields.items() if name not in hidden
     ]
--- a/lycheepost/commands/load.py
+++ b/lycheepost/commands/load.py
@@ -1,4 +1,4 @@
-"""``lycheepost load``: drive running daemons as callers do and audit them."""
+"""``lycheepost load``: send load to running daemons and audit answers."""
 
 import asyncio
 import pathlib
@@ -24,21 +24,21 @@
     ],
     key: Annotated[
         list[str] | None,
-        typer.Option("--key", help="CUSTOMER=KEY; repeatable, the largest first."),
+        typer.Option("--key", help="CUSTOMER=KEY; repeatable, most traffic first."),
     ] = None,
     keys: Annotated[
         pathlib.Path | None,
-        typer.Option("--keys", help="YAML or JSON file of customers and keys."),
+        typer.Option("--keys", help="YAML or JSON file that maps customers to keys."),
     ] = None,
     deployment: Annotated[
-        Deployment, typer.Option(help="Whose traffic to send.")
+        Deployment, typer.Option(help="Deployment whose traffic to send.")
     ] = Deployment.PRAIRIE,
     model: Annotated[
-        str, typer.Option(help="Model to ask for; the first that is listed if empty.")
+        str, typer.Option(help="Model to request; the first listed model if empty.")
     ] = "",
     service_path: Annotated[
         str,
-        typer.Option(help="Path of the plain service; the deployment's own if empty."),
+        typer.Option(help="Path of the plain service; the deployment's if empty."),
     ] = "",
     no_calls: Annotated[
         bool, typer.Option("--no-calls", help="Send no plain-service calls.")
@@ -49,11 +49,13 @@
             "--record", help="Base URL of a stand-in service whose orders are audited."
         ),
     ] = None,
-    seconds: Annotated[float, typer.Option(min=0.1, help="Length of the run.")] = 10.0,
+    seconds: Annotated[
+        float, typer.Option(min=0.1, help="Duration of the run.")
+    ] = 10.0,
     rate: Annotated[
-        float, typer.Option(min=0.1, help="Requests a second at the day's peak.")
+        float, typer.Option(min=0.1, help="Requests per second at the daily peak.")
     ] = 20.0,
-    seed: Annotated[int, typer.Option(min=0, help="Seed of all chance.")] = 0,
+    seed: Annotated[int, typer.Option(min=0, help="Random seed.")] = 0,
     max_requests: Annotated[int, typer.Option(min=1)] = 100_000,
     max_in_flight: Annotated[int, typer.Option(min=1)] = 2_000,
     json_output: Annotated[
@@ -62,9 +64,9 @@
 ) -> None:
     """Send traffic to running daemons and audit every answer.
 
-    The answers of stand-in engines are checked word by word. Exit code 0 when
-    the audit found no fault, 1 when it found one or nothing was answered, 2 for
-    wrong use, 3 when no address or record could be reached.
+    The answers of stand-in engines are compared word by word. Exit code 0 when
+    the audit found no fault, 1 when it found one or no request was answered, 2 for
+    invalid arguments, 3 when no address or record could be reached.
     """
     chosen = deployment
     plan_keys = _read_keys(keys, key or [])
@@ -106,9 +108,9 @@
         try:
             document = yaml.safe_load(path.read_text(encoding="utf-8"))
         except (OSError, UnicodeDecodeError, yaml.YAMLError) as error:
-            fail(f"{path}: {type(error).__name__}", ExitCode.BAD_INPUT)
+            fail(f"{path} cannot be read: {type(error).__name__}", ExitCode.BAD_INPUT)
     if not isinstance(document, dict):
-        fail(f"{path}: must map customers to keys", ExitCode.BAD_INPUT)
+        fail(f"{path}: must be a mapping of customers to keys", ExitCode.BAD_INPUT)
     keys = {CustomerId(str(name)): str(value) for name, value in document.items()}
     for pair in pairs:
         customer, separator, value = pair.partition("=")
@@ -116,7 +118,7 @@
             fail("--key must be CUSTOMER=KEY", ExitCode.BAD_INPUT)
         keys[CustomerId(customer)] = value
     if not keys:
-        fail("give --key CUSTOMER=KEY or --keys FILE", ExitCode.BAD_INPUT)
+        fail("--key CUSTOMER=KEY or --keys FILE is required", ExitCode.BAD_INPUT)
     return keys
 
 
--- a/lycheepost/commands/report.py
+++ b/lycheepost/commands/report.py
@@ -1,4 +1,4 @@
-"""``lycheepost report``: what the service levels look like."""
+"""``lycheepost report``: report on service levels."""
 
 import asyncio
 import pathlib
@@ -10,7 +10,7 @@
 from lycheepost.report.gather import gather_burn
 from lycheepost.report.render import encode, render_table
 
-app = typer.Typer(help="Reports for the people on call.", no_args_is_help=True)
+app = typer.Typer(help="Reports for on-call engineers.", no_args_is_help=True)
 
 
 @app.command()
@@ -18,12 +18,12 @@
     addresses: Annotated[
         list[str],
         typer.Option(
-            "--addresses", help="Base URL of a daemon's operators' port; repeatable."
+            "--addresses", help="Base URL of a daemon's operator port; repeatable."
         ),
     ],
     operator_key: Annotated[
         str,
-        typer.Option(envvar="LYCHEEPOST_OPERATOR_KEY", help="The operators' key."),
+        typer.Option(envvar="LYCHEEPOST_OPERATOR_KEY", help="Operator key."),
     ] = "",
     json_output: Annotated[
         bool, typer.Option("--json", help="Print one JSON object.")
@@ -43,7 +43,7 @@
     if report is None:
         fail("no daemon answered", ExitCode.UNREACHABLE)
     if html is not None:
-        # Imported only here: matplotlib would slow every other command down.
+        # Imported lazily: matplotlib would slow down every other command.
         from lycheepost.report.page import render_page
 
         html.write_text(render_page(report), encoding="utf-8")
--- a/lycheepost/commands/standin.py
+++ b/lycheepost/commands/standin.py
@@ -1,4 +1,4 @@
-"""``lycheepost standin``: run one stand-in as a process of its own."""
+"""``lycheepost standin``: run one stand-in as a separate process."""
 
 import pathlib
 from typing import Annotated
@@ -16,7 +16,7 @@
 
 
 def standin(
-    kind: Annotated[StandinKind, typer.Argument(help="What to stand in for.")],
+    kind: Annotated[StandinKind, typer.Argument(help="Kind of stand-in.")],
     settings_file: Annotated[
         pathlib.Path, typer.Option("--settings", help="Settings file in YAML.")
     ],
