--- a/lycheepost/commands/beliefs.py
+++ b/lycheepost/commands/beliefs.py
@@ -1,4 +1,4 @@
-"""``lycheepost fleet beliefs``: what daemons on the platform believe, compared."""
+"""``lycheepost fleet beliefs``: compare the state that daemons report."""
 
 import asyncio
 import sys
@@ -21,56 +21,55 @@
     read_belief,
 )
 
-ANSWER_SECONDS = 3.0
-"""A daemon that serves answers within milliseconds; one that is busy with its own
-restart within a second."""
+ANSWER_TIMEOUT_SECONDS = 3.0
+"""A serving daemon answers within milliseconds, a restarting one within a second."""
 
 Addresses = Annotated[
-    list[str], typer.Argument(help="IP:PORT of each daemon's metrics.")
+    list[str], typer.Argument(help="IP:PORT of each daemon's metrics page.")
 ]
 
 
 def beliefs(addresses: Addresses, json_output: Json = False) -> None:
-    """Show what daemons on the platform believe, with ages, and where they differ.
+    """Show the state that daemons on the platform report, its age and differences.
 
-    Exit codes: 0 all alike, 1 they differ, 3 a daemon gave no answer.
+    Exit codes: 0 no difference, 1 some differ, 3 a daemon gave no answer.
     """
-    answers = asyncio.run(_ask_all(addresses))
-    known: list[Belief] = []
+    answers = asyncio.run(_fetch_all(addresses))
+    received: list[Belief] = []
     n_missing = 0
     for address, answer in zip(addresses, answers, strict=True):
         match answer:
             case Success(belief):
-                known.append(belief)
+                received.append(belief)
             case Failure(error):
                 n_missing += 1
                 print(f"{address}: {error.reason}", file=sys.stderr)
-    differences = find_differences(known)
+    differences = find_differences(received)
     if json_output:
         document = {
-            "beliefs": [asdict(belief) for belief in known],
+            "beliefs": [asdict(belief) for belief in received],
             "differences": [asdict(item) for item in differences],
         }
         print(msgspec.json.encode(document).decode())
     else:
-        for belief in known:
+        for belief in received:
             print(describe(belief))
         for item in differences:
-            for word, daemons in item.told.items():
-                print(f"differs: {item.subject}: {word}: {', '.join(daemons)}")
+            for value, daemons in item.told.items():
+                print(f"differs: {item.subject}: {value}: {', '.join(daemons)}")
     if n_missing:
         raise typer.Exit(ExitCode.UNREACHABLE)
     if differences:
         raise typer.Exit(ExitCode.FAILED)
 
 
-async def _ask_all(addresses: list[str]) -> list[Result[Belief, StatusUnreadable]]:
-    timeout = aiohttp.ClientTimeout(total=ANSWER_SECONDS)
+async def _fetch_all(addresses: list[str]) -> list[Result[Belief, StatusUnreadable]]:
+    timeout = aiohttp.ClientTimeout(total=ANSWER_TIMEOUT_SECONDS)
     async with aiohttp.ClientSession(timeout=timeout) as session:
-        return await asyncio.gather(*(_ask(session, item) for item in addresses))
+        return await asyncio.gather(*(_fetch(session, item) for item in addresses))
 
 
-async def _ask(
+async def _fetch(
     session: aiohttp.ClientSession, address: str
 ) -> Result[Belief, StatusUnreadable]:
     try:
--- a/lycheepost/commands/customer.py
+++ b/lycheepost/commands/customer.py
@@ -1,4 +1,4 @@
-"""``lycheepost customer``: create, list, rotate keys, disable."""
+"""``lycheepost customer``: manage customers, their keys and quotas."""
 
 import json
 from typing import Annotated, Any
@@ -30,10 +30,11 @@
     ca_file: CaFile = "",
     share_weight: Annotated[float, typer.Option(help="Weight in fair sharing.")] = 1.0,
     model: Annotated[
-        list[str] | None, typer.Option(help="A model it may use; all when left out.")
+        list[str] | None,
+        typer.Option(help="Model it may use; repeatable; all if omitted."),
     ] = None,
     target_group: Annotated[
-        list[str] | None, typer.Option(help="A plain service it may use.")
+        list[str] | None, typer.Option(help="Plain service it may use; repeatable.")
     ] = None,
     yes: Yes = False,
     json_output: Json = False,
@@ -60,7 +61,7 @@
     ca_file: CaFile = "",
     json_output: Json = False,
 ) -> None:
-    """List the customers; no key is kept, so none is shown.
+    """List the customers; keys are stored as hashes, so none is shown.
 
     Exit codes: 0 listed, 1 refused, 3 no answer.
     """
@@ -90,12 +91,12 @@
     url: Url = DEFAULT_URL,
     ca_file: CaFile = "",
     end_old: Annotated[
-        bool, typer.Option(help="End every old key at once, as after a leak.")
+        bool, typer.Option(help="Revoke all old keys at once, as after a leak.")
     ] = False,
     yes: Yes = False,
     json_output: Json = False,
 ) -> None:
-    """Give a customer a new key; the newest old one works on unless ended.
+    """Create a new key; the newest old one stays valid unless --end-old is given.
 
     Exit codes: 0 rotated, 1 refused, 2 faulty input, 3 no answer.
     """
@@ -112,22 +113,20 @@
 def quota(
     customer: Name,
     key: Key,
-    rate_per_second: Annotated[
-        float, typer.Option(help="Units that come back each second.")
-    ],
+    rate_per_second: Annotated[float, typer.Option(help="Units refilled per second.")],
     burst: Annotated[
-        float, typer.Option(help="Units that may be spent at once after a silence.")
+        float, typer.Option(help="Units that may be spent at once after idle time.")
     ],
     unit: Annotated[str, typer.Option(help="requests or tokens.")] = "tokens",
     plain_units: Annotated[
-        float, typer.Option(help="Tokens that a request without a prompt counts for.")
+        float, typer.Option(help="Tokens charged for a request without a prompt.")
     ] = 1.0,
     url: Url = DEFAULT_URL,
     ca_file: CaFile = "",
     yes: Yes = False,
     json_output: Json = False,
 ) -> None:
-    """Bound what a customer may ask of all daemons together.
+    """Set a customer's quota across all daemons.
 
     Exit codes: 0 set, 1 refused, 2 faulty input, 3 no answer.
     """
@@ -152,7 +151,7 @@
     yes: Yes = False,
     json_output: Json = False,
 ) -> None:
-    """Let a customer ask for as much as it is served.
+    """Remove a customer's quota.
 
     Exit codes: 0 removed, 1 refused, 2 faulty input, 3 no answer.
     """
@@ -168,7 +167,7 @@
     ca_file: CaFile = "",
     json_output: Json = False,
 ) -> None:
-    """Show each customer's quota and what is left of it, as one daemon sees it.
+    """Show each customer's quota and what is left of it, as known to one daemon.
 
     Exit codes: 0 shown, 1 refused, 3 no answer.
     """
@@ -177,12 +176,12 @@
     if json_output:
         print(json.dumps(body))
         return
-    print(f"this daemon may let through {body['share']:.0%} of each quota by itself")
+    print(f"this daemon may admit {body['share']:.0%} of each quota by itself")
     for name, item in sorted(body["customers"].items()):
         print(
-            f"{name}: {item['rate_per_second']:g} {item['unit']} a second,"
+            f"{name}: {item['rate_per_second']:g} {item['unit']} per second,"
             f" burst {item['burst']:g}, {item['left']:.0f} left;"
-            f" let through here {item['spent_here']:.0f},"
+            f" admitted here {item['spent_here']:.0f},"
             f" refused here {item['n_refused_here']} requests"
         )
 
@@ -196,7 +195,7 @@
     yes: Yes = False,
     json_output: Json = False,
 ) -> None:
-    """Refuse a customer's new requests; those in flight are finished.
+    """Reject a customer's new requests; requests in flight finish.
 
     Exit codes: 0 disabled, 1 refused, 2 faulty input, 3 no answer.
     """
--- a/lycheepost/commands/fleet.py
+++ b/lycheepost/commands/fleet.py
@@ -1,4 +1,4 @@
-"""``lycheepost fleet``: daemons, targets and the revision each works by."""
+"""``lycheepost fleet``: show daemons, targets and the revisions in force."""
 
 import asyncio
 import json
@@ -36,15 +36,15 @@
 ) -> None:
     """Show the revision in force per daemon, and the targets as one daemon sees them.
 
-    Each daemon is asked for its revision; one that does not answer is unknown.
+    Each daemon is asked for its revision, which is unknown if it does not answer.
 
     Exit codes: 0 shown, 1 refused, 3 no answer.
     """
     connection = ApiConnection(url, key, ca_file)
     body = request(connection, "GET", "/v1/fleet", None, json_output)
-    told = asyncio.run(ask_revisions(body["daemons"], ca_file))
+    reported = asyncio.run(ask_revisions(body["daemons"], ca_file))
     for item in body["daemons"]:
-        item["revision"] = told.get(item["daemon_id"], item["revision"])
+        item["revision"] = reported.get(item["daemon_id"], item["revision"])
     if json_output:
         print(json.dumps(body))
         return
--- a/lycheepost/commands/intent.py
+++ b/lycheepost/commands/intent.py
@@ -1,4 +1,4 @@
-"""``lycheepost intent``: plan, confirm and follow changes."""
+"""``lycheepost intent``: plan, confirm and track changes."""
 
 import json
 import pathlib
@@ -24,22 +24,21 @@
 from lycheepost.operators.client import ApiConnection
 from lycheepost.utils.documents import Fault, parse_yaml
 
-app = typer.Typer(
-    help="State what you want, read the plan, confirm it.", no_args_is_help=True
-)
+app = typer.Typer(help="Plan, confirm and track changes.", no_args_is_help=True)
 
 
 @app.command()
 def plan(
     file: Annotated[
-        pathlib.Path, typer.Argument(help="Intent in YAML or JSON; - for input.")
+        pathlib.Path,
+        typer.Argument(help="Intent in YAML or JSON; - for standard input."),
     ],
     key: Key,
     url: Url = DEFAULT_URL,
     ca_file: CaFile = "",
     json_output: Json = False,
 ) -> None:
-    """Show what an intent would do; nothing changes.
+    """Show what an intent would do, without applying it.
 
     Exit codes: 0 planned, 1 refused, 2 the intent has faults, 3 no answer.
     """
@@ -55,25 +54,26 @@
 
 @app.command()
 def confirm(
-    plan_id: Annotated[str, typer.Argument(help="What `intent plan` printed.")],
+    plan_id: Annotated[str, typer.Argument(help="Id that `intent plan` printed.")],
     key: Key,
     url: Url = DEFAULT_URL,
     ca_file: CaFile = "",
     allow_unrelated: Annotated[
         bool,
         typer.Option(
-            help="Also when other plans came first, if none touched this one's."
+            help="Confirm after other plans too, if none changed the same items."
         ),
     ] = False,
     token: Annotated[
-        str, typer.Option(help="Repeat a confirm whose answer was lost.")
+        str, typer.Option(help="Token of an earlier confirm whose answer was lost.")
     ] = "",
     json_output: Json = False,
 ) -> None:
     """Apply a plan once.
 
-    Exit codes: 0 applied (also when it was already), 1 refused (such as a moved
-    basis), 3 no answer: the outcome is open, and the printed command settles it.
+    Exit codes: 0 applied (now or before), 1 refused (for example because the basis
+    revision changed), 3 no answer: the outcome is unknown, and the printed command
+    retrieves it.
     """
     connection = ApiConnection(url, key, ca_file)
     confirm_and_print(connection, plan_id, token, allow_unrelated, json_output)
@@ -83,7 +83,7 @@
 def show(
     key: Key,
     plan_id: Annotated[
-        str, typer.Argument(help="One plan; all recent ones when left out.")
+        str, typer.Argument(help="Id of one plan; all recent plans if omitted.")
     ] = "",
     url: Url = DEFAULT_URL,
     ca_file: CaFile = "",
@@ -116,7 +116,7 @@
         print_plan(item)
 
 
-def _steer(
+def _plan_state_change(
     kind: str, intent: str, connection: ApiConnection, yes: bool, as_json: bool
 ) -> None:
     plan_and_confirm(connection, {"kind": kind, "intent": intent}, yes, as_json)
@@ -134,12 +134,12 @@
     yes: Yes = False,
     json_output: Json = False,
 ) -> None:
-    """Start no further step of a capacity intent; steps begun are finished.
+    """Pause a capacity intent: no further step starts, steps in progress finish.
 
     Exit codes: 0 done, 1 refused, 2 no such intent, 3 no answer.
     """
     connection = ApiConnection(url, key, ca_file)
-    _steer("pause_intent", intent, connection, yes, json_output)
+    _plan_state_change("pause_intent", intent, connection, yes, json_output)
 
 
 @app.command()
@@ -151,12 +151,12 @@
     yes: Yes = False,
     json_output: Json = False,
 ) -> None:
-    """Go on with a paused capacity intent.
+    """Resume a paused capacity intent.
 
     Exit codes: 0 done, 1 refused, 2 no such intent, 3 no answer.
     """
     connection = ApiConnection(url, key, ca_file)
-    _steer("resume_intent", intent, connection, yes, json_output)
+    _plan_state_change("resume_intent", intent, connection, yes, json_output)
 
 
 @app.command()
@@ -168,12 +168,12 @@
     yes: Yes = False,
     json_output: Json = False,
 ) -> None:
-    """End a capacity intent; targets in the midst of a step finish it.
+    """Cancel a capacity intent; targets already in a step finish it.
 
     Exit codes: 0 done, 1 refused, 2 no such intent, 3 no answer.
     """
     connection = ApiConnection(url, key, ca_file)
-    _steer("cancel_intent", intent, connection, yes, json_output)
+    _plan_state_change("cancel_intent", intent, connection, yes, json_output)
 
 
 def _read_intent(file: pathlib.Path) -> Any:
--- a/lycheepost/commands/model.py
+++ b/lycheepost/commands/model.py
@@ -1,4 +1,4 @@
-"""``lycheepost model``: create, list, change the weights."""
+"""``lycheepost model``: create and list models, change their weights."""
 
 import json
 from typing import Annotated
@@ -19,15 +19,15 @@
 
 app = typer.Typer(help="Models and their weights.", no_args_is_help=True)
 
-Name = Annotated[str, typer.Argument(help="Name that callers use.")]
-Version = Annotated[str, typer.Argument(help="Version in the weight store.")]
+Name = Annotated[str, typer.Argument(help="Model name that callers use.")]
+Version = Annotated[str, typer.Argument(help="Weights version in the weight store.")]
 
 
 @app.command()
 def create(
     model: Name,
     weights_version: Version,
-    target_group: Annotated[str, typer.Argument(help="Group of its engines.")],
+    target_group: Annotated[str, typer.Argument(help="Target group of its engines.")],
     key: Key,
     url: Url = DEFAULT_URL,
     ca_file: CaFile = "",
@@ -67,8 +67,8 @@
 ) -> None:
     """Change a model to another weights version, target by target.
 
-    Exit codes: 0 begun (or set, with --at-once), 1 refused, 2 faulty input, 3 no
-    answer. `lycheepost intent show` follows the progress.
+    Exit codes: 0 started (or set, with --at-once), 1 refused, 2 faulty input, 3 no
+    answer. `lycheepost intent show` shows the progress.
     """
     document = {
         "kind": "set_weights_version" if at_once else "new_weights",
--- a/lycheepost/commands/operatorcalls.py
+++ b/lycheepost/commands/operatorcalls.py
@@ -1,7 +1,7 @@
-"""What the operators' commands share: options, calls, exit codes, printing.
+"""Options, API calls and output shared by the operator commands.
 
 Exit codes: 0 done; 1 the daemon refused; 2 the input has faults; 3 no daemon or
-no table service answered, and for a confirm the outcome is open.
+no table service answered, and the outcome of a confirm is unknown.
 """
 
 import asyncio
@@ -32,16 +32,20 @@
     typer.Option(
         "--key",
         envvar="LYCHEEPOST_OPERATOR_KEY",
-        help="Operator key; better given in the environment variable.",
+        help="Operator key; prefer the environment variable.",
         show_envvar=True,
     ),
 ]
 CaFile = Annotated[
     str,
-    typer.Option("--ca-file", envvar="LYCHEEPOST_CA_FILE", help="Trust these too."),
+    typer.Option(
+        "--ca-file",
+        envvar="LYCHEEPOST_CA_FILE",
+        help="CA certificates to trust additionally.",
+    ),
 ]
 Json = Annotated[bool, typer.Option("--json", help="Print JSON.")]
-Yes = Annotated[bool, typer.Option("--yes", help="Confirm without asking.")]
+Yes = Annotated[bool, typer.Option("--yes", help="Confirm without a prompt.")]
 
 DEFAULT_URL = "http://127.0.0.1:8081"
 
@@ -49,7 +53,7 @@
 def request(
     connection: ApiConnection, method: str, path: str, document: Any, as_json: bool
 ) -> Any:
-    """Call the API once; print a refusal and exit when there is one."""
+    """Call the API once and return the body; print an error and exit on failure."""
     return _unwrap(asyncio.run(call_api(connection, method, path, document)), as_json)
 
 
@@ -60,11 +64,11 @@
     allow_unrelated: bool,
     as_json: bool,
 ) -> None:
-    """Confirm a plan and print what it made; a new key is shown only here."""
+    """Confirm a plan and print the result; a new key is shown only once."""
     token = token or secrets.token_urlsafe(32)
     answer = asyncio.run(confirm(connection, plan_id, token, allow_unrelated))
     if not isinstance(answer, Success):
-        _explain_open_outcome(answer, plan_id, token)
+        _explain_unknown_outcome(answer, plan_id, token)
     body = _unwrap(answer, as_json)
     if as_json:
         print(json.dumps(body))
@@ -72,16 +76,16 @@
     print(f"{plan_id} is in force as revision {body['revision']}.")
     for intent in body["intents"]:
         print(f"capacity intent: {intent}")
-    for shown in body["keys"]:
-        print(f"key of {shown['customer']}, shown this once: {shown['key']}")
+    for item in body["keys"]:
+        print(f"key of {item['customer']}, shown this once: {item['key']}")
     if body["n_keys_withheld"]:
-        print("The key was shown to the call that confirmed first; rotate it if lost.")
+        print("The key was shown to the first confirm only; rotate it if lost.")
 
 
 def plan_and_confirm(
     connection: ApiConnection, document: Any, yes: bool, as_json: bool
 ) -> None:
-    """Plan an intent, show the plan, ask, and confirm it."""
+    """Plan an intent, show the plan, ask for confirmation and confirm it."""
     plan = request(connection, "POST", "/v1/intents", document, as_json)
     if not as_json or not yes:
         print_plan(plan, sys.stderr if as_json else sys.stdout)
@@ -92,7 +96,7 @@
 
 
 def print_plan(plan: dict[str, Any], stream: Any = None) -> None:
-    """Print a plan for a person."""
+    """Print a plan as text."""
     stream = stream or sys.stdout
     state = plan["state"]
     print(
@@ -111,14 +115,14 @@
     print(f"  {plan['estimate']['n_steps']} steps, {seconds:.0f} s", file=stream)
 
 
-def _explain_open_outcome(answer: ApiAnswer, plan_id: str, token: str) -> None:
+def _explain_unknown_outcome(answer: ApiAnswer, plan_id: str, token: str) -> None:
     error = answer.failure()
-    is_open = isinstance(error, ApiUnreachable) or (
+    is_outcome_unknown = isinstance(error, ApiUnreachable) or (
         isinstance(error, ApiRefused) and error.body.get("is_applied") is None
     )
-    if is_open:
+    if is_outcome_unknown:
         print(
-            "The plan may have been applied. To learn it, and to see a new key, run:"
+            "The plan may have been applied. To find out, and to see a new key, run:"
             f" lycheepost intent confirm {plan_id} --token {token}",
             file=sys.stderr,
         )
