--- a/lycheepost/commands/main.py
+++ b/lycheepost/commands/main.py
@@ -1,10 +1,10 @@
-"""The ``lycheepost`` command: one module per command, imported when it is used.
+"""The ``lycheepost`` command: one module per command, imported lazily.
 
-A daemon on a small VM must not hold the plotting and numeric libraries that
-other commands need, nor wait for them at its start.
+A daemon on a small VM must neither keep in memory nor load at start-up the plotting
+and numeric libraries that other commands need.
 
-Exit codes of every command: 0 success, 1 the work failed or an audit found a
-fault, 2 wrong use or faulty input, 3 a service could not be reached.
+Exit codes of every command: 0 success, 1 the command failed or an audit found a
+fault, 2 invalid arguments or input, 3 a service could not be reached.
 """
 
 import importlib
@@ -32,8 +32,8 @@
 def make_app(names: tuple[str, ...] = COMMANDS) -> typer.Typer:
     """Return the command line with the commands ``names``.
 
-    A module with an ``app`` is a group of commands; one without has a function
-    of its own name.
+    A module with an ``app`` is a group of commands; any other module defines a
+    function of the same name.
     """
     app = typer.Typer(
         name="lycheepost",
@@ -41,8 +41,8 @@
         no_args_is_help=True,
         add_completion=False,
     )
-    # Without a callback typer takes a single command for the whole program.
-    app.callback()(_describe)
+    # Without a callback, typer would run a single command without its name.
+    app.callback()(_root)
     for name in names:
         module = importlib.import_module(f"lycheepost.commands.{name}")
         group = getattr(module, "app", None)
@@ -53,12 +53,12 @@
     return app
 
 
-def _describe() -> None:
+def _root() -> None:
     """A router for language-model traffic with long, nested, shared prompts."""
 
 
 def run() -> None:
     """Run the command line; the entry point of the package."""
-    asked = sys.argv[1] if len(sys.argv) > 1 else ""
-    names = (asked,) if asked in COMMANDS else COMMANDS
+    command = sys.argv[1] if len(sys.argv) > 1 else ""
+    names = (command,) if command in COMMANDS else COMMANDS
     make_app(names)()
--- a/lycheepost/commands/output.py
+++ b/lycheepost/commands/output.py
@@ -1,4 +1,4 @@
-"""What commands share: exit codes and the printing of faults."""
+"""Exit codes and error output shared by the commands."""
 
 import sys
 from enum import IntEnum
@@ -7,7 +7,7 @@
 import typer
 
 if TYPE_CHECKING:
-    # Checking documents takes a schema library, which a daemon does not hold.
+    # Not imported at run time: a daemon must not load the schema library.
     from lycheepost.utils.documents import Fault
 
 
@@ -21,7 +21,7 @@
 
 
 def fail(message: str, code: ExitCode) -> NoReturn:
-    """Print one line to standard error and exit."""
+    """Print a message to standard error and exit."""
     print(message, file=sys.stderr)
     raise typer.Exit(code)
 
--- a/lycheepost/commands/serve.py
+++ b/lycheepost/commands/serve.py
@@ -21,11 +21,11 @@
         typer.Option(
             "--node-file",
             envvar="LYCHEEPOST_NODE_FILE",
-            help="Settings file of the users' platform, where that runs the daemon.",
+            help="Settings file of the users' platform, if it runs the daemon.",
         ),
     ] = None,
 ) -> None:
-    """Run one daemon until SIGTERM, which drains it; a second one stops it.
+    """Run one daemon; SIGTERM drains it, a second SIGTERM stops it at once.
 
     Exit code 0 after a stop, 2 when the settings have faults, 1 when a port is
     taken or a certificate cannot be used.
@@ -35,17 +35,17 @@
     elif node_file is not None:
         _serve_on_platform(node_file)
     else:
-        fail("Give --settings or --node-file.", ExitCode.BAD_INPUT)
+        fail("--settings or --node-file is required.", ExitCode.BAD_INPUT)
 
 
 def _standard_output() -> TextIO:
-    """Return standard output as a place for log lines that never blocks."""
+    """Return a non-blocking writer of log lines to standard output."""
     return cast("TextIO", LogWriter(sys.stdout.fileno()))
 
 
 def _serve_alone(settings_file: pathlib.Path) -> None:
-    """Run a daemon with settings of our own."""
-    # Imported here: the daemon on the platform must not hold these modules.
+    """Run a daemon with a settings file of lycheepost."""
+    # Imported lazily: a daemon on the platform must not load these modules.
     from lycheepost.app.daemon import make_daemon
     from lycheepost.app.run import run_until_signal
     from lycheepost.app.settings import read_settings
@@ -64,7 +64,7 @@
 
 
 def _serve_on_platform(node_file: pathlib.Path) -> None:
-    """Run a daemon with the settings that the platform hands out."""
+    """Run a daemon with the settings file of the platform."""
     from lycheepost.app.platformrun import run
 
     raise typer.Exit(run(node_file))
--- a/lycheepost/commands/settings.py
+++ b/lycheepost/commands/settings.py
@@ -1,4 +1,4 @@
-"""``lycheepost settings``: check a settings file, make peer keys."""
+"""``lycheepost settings``: check a settings file, generate peer keys."""
 
 import json
 import pathlib
@@ -15,7 +15,7 @@
 from lycheepost.platform.settings import read_node_settings
 from lycheepost.utils.documents import Fault
 
-_NODE_LINE = re.compile(r"^[a-z0-9_.-]+=")
+_NODE_FILE_LINE = re.compile(r"^[a-z0-9_.-]+=")
 
 app = typer.Typer(help="Check settings files.", no_args_is_help=True)
 
@@ -27,10 +27,11 @@
         bool, typer.Option("--json", help="Print the faults as a JSON list.")
     ] = False,
 ) -> None:
-    """Check a settings file; print every fault at once.
+    """Check a settings file and print all its faults.
 
-    A file of lines ``a.b=value`` is taken for one of the users' platform, any other
-    for YAML of our own. Exit code 0 when it is in order, 2 when it has faults.
+    A file of lines ``a.b=value`` is assumed to be a settings file of the users'
+    platform, any other to be YAML of lycheepost. Exit code 0 without faults, 2 with
+    faults.
     """
     match _read(file):
         case Failure(faults):
@@ -43,7 +44,7 @@
 
 
 def _read(file: pathlib.Path) -> Result[object, list[Fault]]:
-    """Read a file of either kind."""
+    """Read a settings file of lycheepost or of the platform."""
     if not _is_node_file(file):
         return read_settings(file)
     return read_node_settings(file).alt(
@@ -56,8 +57,8 @@
         lines = file.read_text(encoding="utf-8").splitlines()
     except (OSError, UnicodeDecodeError):
         return False
-    filled = [line for line in lines if line.strip()]
-    return bool(filled) and all(_NODE_LINE.match(line) for line in filled)
+    non_empty = [line for line in lines if line.strip()]
+    return bool(non_empty) and all(_NODE_FILE_LINE.match(line) for line in non_empty)
 
 
 @app.command("peer-keys")
