--- a/lycheepost/commands/benchquota.py
+++ b/lycheepost/commands/benchquota.py
@@ -10,7 +10,7 @@
 
 def quota(
     daemons: Annotated[int, typer.Option(min=1, help="Number of daemons.")] = 10,
-    customers: Annotated[int, typer.Option(min=3, help="Number of customers.")] = 16,
+    customers: Annotated[int, typer.Option(min=3, help="Customers.")] = 16,
     seed: Annotated[
         list[int], typer.Option(help="Seed of the demand; may be repeated.")
     ] = [1],  # noqa: B006
--- a/lycheepost/commands/main.py
+++ b/lycheepost/commands/main.py
@@ -59,6 +59,6 @@
 
 def run() -> None:
     """Run the command line; the entry point of the package."""
-    command = sys.argv[1] if len(sys.argv) > 1 else ""
-    names = (command,) if command in COMMANDS else COMMANDS
+    command_name = sys.argv[1] if len(sys.argv) > 1 else ""
+    names = (command_name,) if command_name in COMMANDS else COMMANDS
     make_app(names)()
