--- a/features/decide/steps/fetched_steps.py
+++ b/features/decide/steps/fetched_steps.py
@@ -43,7 +43,7 @@
 @given("{n:d} targets, one of which caches a template that {who} keeps")
 def step_cached(context, n, who):
     context.desk = make_desk(n)
-    context.kept_tokens = TEMPLATE_TOKENS if who == "the store" else 0
+    context.stored_tokens = TEMPLATE_TOKENS if who == "the store" else 0
     event = CacheEvent(
         sequence=1,
         kind=CacheEventKind.STORED,
@@ -62,7 +62,7 @@
     context.holder = TargetId("target-0")
 
 
-def arrive(context, index, own_tokens, kept_tokens):
+def arrive(context, index, own_tokens, stored_tokens):
     levels = (
         PrefixLevel(TEMPLATE, TEMPLATE_TOKENS),
         PrefixLevel(PrefixDigest(1000 + index), TEMPLATE_TOKENS + own_tokens),
@@ -71,14 +71,14 @@
         f"request-{index}",
         levels=levels,
         prompt_tokens=TEMPLATE_TOKENS + own_tokens,
-        kept_tokens=kept_tokens,
+        stored_tokens=stored_tokens,
     )
 
 
 @when("{n:d} requests of the template come within 0.2 s")
 def step_burst(context, n):
     for index in range(n):
-        arrive(context, index, OWN_TOKENS, context.kept_tokens)
+        arrive(context, index, OWN_TOKENS, context.stored_tokens)
         context.desk.now_seconds += 0.2 / n
 
 
--- a/features/decide/steps/mechanisms_steps.py
+++ b/features/decide/steps/mechanisms_steps.py
@@ -52,8 +52,8 @@
 
 @then("nothing of a prompt counts as kept")
 def step_not_kept(context):
-    assert make_copies(frozenset()).kept_tokens(STORE, LEVELS) == 100
-    assert make_copies(context.off).kept_tokens(STORE, LEVELS) == 0
+    assert make_copies(frozenset()).stored_tokens(STORE, LEVELS) == 100
+    assert make_copies(context.off).stored_tokens(STORE, LEVELS) == 0
 
 
 def count_sent_after_draw(off):
--- a/lycheepost/callers/forwardwork.py
+++ b/lycheepost/callers/forwardwork.py
@@ -113,7 +113,7 @@
         fingerprint=fingerprint_body(customer, identity + request.body),
         is_idempotent=route.is_repeatable,
         objective_seconds=route.objective_seconds or math.inf,
-        kept_tokens=deps.kv_store_contents.kept_tokens(
+        stored_tokens=deps.kv_store_contents.stored_tokens(
             choose_kv_store(table, levels), levels
         ),
     )
--- a/lycheepost/core/clock.py
+++ b/lycheepost/core/clock.py
@@ -1,4 +1,4 @@
-"""A system clock that includes suspension, and a fake clock for tests.
+"""A system clock that includes time spent suspended, and a fake clock for tests.
 
 A lease holder that was suspended must detect on resume that its lease has expired.
 ``CLOCK_MONOTONIC`` stops during suspension on Linux, so the system clock reads
@@ -14,7 +14,7 @@
     """Interface through which components read the time."""
 
     def now_seconds(self) -> float:
-        """Return seconds since an arbitrary start, including suspension."""
+        """Return seconds since an arbitrary start, including time spent suspended."""
         ...
 
     def wall_seconds(self) -> float:
--- a/lycheepost/core/ids.py
+++ b/lycheepost/core/ids.py
@@ -19,6 +19,7 @@
 Revision = NewType("Revision", int)
 FencingNumber = NewType("FencingNumber", int)
 PrefixDigest = NewType("PrefixDigest", int)
-"""64-bit chained hash of one prompt prefix level."""
+"""64-bit hash that identifies one prefix level: chained in ``decide.levels``, of one
+part alone in ``decide.promptlevels``."""
 BodyFingerprint = NewType("BodyFingerprint", int)
 """64-bit hash of one customer and one request body."""
--- a/lycheepost/core/routing.py
+++ b/lycheepost/core/routing.py
@@ -1,7 +1,8 @@
 """Records of routes, target groups and customers' keys.
 
-A route table is one operator's decoded configuration. It is immutable; a new version is
-a new table. Prompts are described as parts with token counts, as callers state them.
+A route table is one decoded version of the operator's configuration. It is immutable;
+each change makes a new table. Prompts are described as parts with token counts, as
+callers state them.
 """
 
 from collections.abc import Mapping
@@ -21,7 +22,10 @@
 
 
 class RouteKind(Enum):
-    """Whether a route's requests may be repeated."""
+    """The kind of a route.
+
+    With ``is_resumable`` it decides whether a request may be repeated.
+    """
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -200,7 +204,7 @@
     """A target as it registered itself.
 
     Attributes:
-        target: Its name, which it keeps across restarts.
+        target: Its name, which it keeps across restarts if it states ``started_ms``.
         address: ``IP:PORT``; may later be reused by another target.
         slots: Requests that it processes at the same time.
         is_leaving: Whether it asked for no new work.
--- a/lycheepost/core/starts.py
+++ b/lycheepost/core/starts.py
@@ -1,9 +1,10 @@
 """One start of one target, identified by the target and its start time.
 
-A restarted target keeps its name but loses its state: cached prompts, order counts and
-requests. So whatever is known of a target holds for one start of it. Starts are
-distinguished by the start time that the target reports on its own clock, and only
-starts of the same target are compared.
+A target that reports its start time keeps its name across restarts but loses its state:
+cached prompts, requests and its count of accepted orders to load weights. So whatever
+is known of a target holds for one start of it. Starts are distinguished by the start
+time that the target reports on its own clock, and only starts of the same target are
+compared.
 """
 
 from dataclasses import dataclass
@@ -39,7 +40,7 @@
     def is_older_than(self, other: "TargetStart") -> bool:
         """Return whether this is an earlier start of the same target.
 
-        Once the target has reported a start time, a record without one describes an
-        earlier start or comes from another writer.
+        Once the target has reported a start time, a registration without one is of an
+        earlier start, or was not written by the target itself.
         """
         return other.is_newer_than(self)
--- a/lycheepost/decide/admission.py
+++ b/lycheepost/decide/admission.py
@@ -40,9 +40,9 @@
 class ServiceRate:
     """Measures the engine seconds of work that are dispatched per second.
 
-    While the queue is never empty, this is the capacity. Otherwise it is only a lower
-    bound and does not reduce the rate: after a period of low traffic the first burst
-    would look like overload.
+    While the queue is never empty, this is the capacity. Otherwise the measurement is
+    only a lower bound and may not reduce the rate; if it did, the first burst after a
+    period of low traffic would look like overload.
     """
 
     def __init__(self, initial: float) -> None:
--- a/lycheepost/decide/attempts.py
+++ b/lycheepost/decide/attempts.py
@@ -20,7 +20,7 @@
 
 
 class AttemptEnd(Enum):
-    """How one attempt ended without a response for the caller."""
+    """How an attempt ended that did not serve the request completely."""
 
     NOT_SENT = "not_sent"
     """No byte reached the target."""
--- a/lycheepost/decide/backlog.py
+++ b/lycheepost/decide/backlog.py
@@ -2,9 +2,9 @@
 
 If a whole prompt counted as waiting until its first token, an engine that has nearly
 finished a prompt would look as full as one that has just begun. With prompts of 9,000
-tokens (a sixth of a second of prefill) the next one would be sent only after the first
-token has come back and all peers were notified, and the engine would idle for a fifth
-of its time while requests wait.
+tokens (a sixth of a second of prefill at 54,000 tokens a second) the next one would be
+sent only after the first token has come back and all peers were notified, and the
+engine would idle for a fifth of its time while requests wait.
 
 The remainder is therefore estimated from the group's measured prefill throughput. A
 first token ends the prompt's part of the backlog; until then a minimum share of it
@@ -42,20 +42,20 @@
             now_seconds: The current time.
         """
         added_tokens = max(0.0, sent_tokens - self.sent_tokens)
-        left_tokens = self._drained(token_seconds, now_seconds) + added_tokens
+        left_tokens = self._left_after(token_seconds, now_seconds) + added_tokens
         self.sent_tokens = sent_tokens
         self.left_tokens = min(left_tokens, sent_tokens)
         self.at_seconds = now_seconds
 
     def left(self, token_seconds: float, now_seconds: float) -> float:
         """Return the tokens that are left to prefill."""
-        drained = self._drained(token_seconds, now_seconds)
-        return max(drained, MIN_LEFT_SHARE * self.sent_tokens)
+        left_tokens = self._left_after(token_seconds, now_seconds)
+        return max(left_tokens, MIN_LEFT_SHARE * self.sent_tokens)
 
-    def _drained(self, token_seconds: float, now_seconds: float) -> float:
+    def _left_after(self, token_seconds: float, now_seconds: float) -> float:
         elapsed_seconds = max(0.0, now_seconds - self.at_seconds)
-        read_tokens = elapsed_seconds / max(token_seconds, _MIN_TOKEN_SECONDS)
-        return max(0.0, self.left_tokens - read_tokens)
+        prefilled_tokens = elapsed_seconds / max(token_seconds, _MIN_TOKEN_SECONDS)
+        return max(0.0, self.left_tokens - prefilled_tokens)
 
 
 _MIN_TOKEN_SECONDS = 1e-6
--- a/lycheepost/decide/backoff.py
+++ b/lycheepost/decide/backoff.py
@@ -41,7 +41,7 @@
         }
 
     def keep(self, targets: Collection[TargetId], now_seconds: float) -> None:
-        """Drop back-offs that are over, of targets that are not among these.
+        """Drop the ended back-offs of all targets except these.
 
         A back-off outlives a short lapse of its target's registration.
         """
--- a/lycheepost/decide/cacheestimate.py
+++ b/lycheepost/decide/cacheestimate.py
@@ -13,8 +13,8 @@
 from lycheepost.generated.engine import CacheEvent, CacheEventKind
 
 MAX_ENTRIES = 20_000
-"""Bounds memory per target: 1.6 billion blocks over 12,000 servers are 133,000 each,
-and there are some tens of times fewer level boundaries than blocks."""
+"""Bounds memory per target. A target caches up to 133,000 blocks (1.6 billion on 12,000
+targets) but some tens of times fewer levels."""
 
 
 RESTART_SEQUENCE = 0
@@ -170,10 +170,10 @@
     def _invalidate(self, n_lost: int) -> None:
         """Drop as many entries as the lost events may have evicted.
 
-        After a lost eviction, requests are sent to a target that must recompute their
-        whole prefix. Engines evict the least recently used entry, so the oldest
-        ``n_lost`` entries are dropped. A lost addition only causes one missed hit,
-        which the next response corrects.
+        If a lost eviction were ignored, requests would be sent to a target that must
+        recompute their whole prefix. Engines evict the least recently used entry, so
+        the oldest ``n_lost`` entries are dropped. A lost addition costs at most one
+        cache hit: the next dispatch of the prefix adds it to an estimate again.
         """
         for _ in range(min(n_lost, len(self._entries))):
             self._drop_oldest()
--- a/lycheepost/decide/concurrency.py
+++ b/lycheepost/decide/concurrency.py
@@ -14,11 +14,12 @@
 """One prefill chunk; with less the engine's iterations would be half empty."""
 
 MAX_TOKENS = 65_536
-"""Several seconds of prefill on one engine; upper bound at any delay."""
+"""Upper bound at any delay: some four seconds of prefill on one engine, at 16,000 tokens
+a second."""
 
 INITIAL_TOKENS = 8192
-"""Half a second of prefill: a restarted daemon neither overloads an engine nor lets it
-idle before the window has adapted."""
+"""Half a second of prefill at 16,000 tokens a second: a restarted daemon neither
+overloads an engine nor lets it idle before the window has adapted."""
 
 GROWTH_TOKENS = 256
 SHRINK_FACTOR = 0.8
@@ -46,7 +47,7 @@
         Args:
             delay_seconds: Its wait there beyond its own prefill.
             target_seconds: Intended delay.
-            is_limiting: Whether the window is nearly full.
+            is_limiting: Whether more than half of the window is in use.
             now_seconds: The current time.
         """
         if delay_seconds <= target_seconds:
--- a/lycheepost/decide/entry.py
+++ b/lycheepost/decide/entry.py
@@ -32,7 +32,8 @@
 with the square of their number."""
 
 MIN_ENTRY_SHARE = 0.5
-"""Fraction of the entry daemons that can carry the traffic for a while."""
+"""Fraction of the wanted entry daemons below which address lists are cached only
+briefly; with this many, they carry the traffic for a while."""
 
 MAX_STORE_FOLLOWERS = 10
 """Daemons that follow the cache events of a KV store. A store accepts a dozen
@@ -45,9 +46,9 @@
 _FOLLOWER_KEY = hash_bytes(b"kv-store")
 
 CORES_PER_TARGET = 0.1
-"""Processor cores of the entry daemons per target: a target gets some six requests a
-second at 5 ms each, and half of the daemons may be lost in a burst of 1.7 times the
-usual load."""
+"""Processor cores of the entry daemons per target: six requests a second at 5 ms
+each are 0.03 cores, times 2 since half of the daemons may be lost, times 1.7 for a
+burst."""
 
 LINK_MBPS_PER_TARGET = 3.0
 """Link capacity of the entry daemons per target, with the same margin: requests and
@@ -113,14 +114,14 @@
     zones: set[AvailabilityZone] = set()
     first: list[FleetMember] = []
     others: list[FleetMember] = []
-    for item in sorted(candidates, key=_width_key):
+    for item in sorted(candidates, key=_size_key):
         is_first = item.availability_zone not in zones
         zones.add(item.availability_zone)
         (first if is_first else others).append(item)
     return [*first, *others]
 
 
-def _width_key(candidate: FleetMember) -> tuple[float, float, int]:
+def _size_key(candidate: FleetMember) -> tuple[float, float, int]:
     capacity = candidate.capacity
     order = hash_bytes(candidate.daemon.encode())
     return -capacity.processor_cores, -capacity.link_mbps, order
--- a/lycheepost/decide/feedtree.py
+++ b/lycheepost/decide/feedtree.py
@@ -8,8 +8,8 @@
 
 Unavailable daemons are skipped, and the next in order takes their place. The order is
 the same for all daemons that know the same members, so there are no cycles. If member
-lists differ and a cycle forms, its answers come from no answer of the store, grow old
-and are no longer passed on.
+lists differ and a cycle forms, the store no longer confirms the data that circulates in
+it. The data exceeds its maximum age and is then no longer passed on.
 """
 
 from collections import defaultdict
@@ -21,7 +21,7 @@
 
 GROUP_DAEMONS = 24
 """Daemons of a group. Its leader answers each of the others three times a second for
-two tables, that is 140 short messages a second, which a small VM can carry."""
+each of two tables, that is 140 short messages a second, which a small VM can carry."""
 
 ONE_GROUP_DAEMONS = 12
 """A fleet of up to this size is one group."""
--- a/lycheepost/decide/fleetquota.py
+++ b/lycheepost/decide/fleetquota.py
@@ -19,8 +19,9 @@
 from lycheepost.decide.quotapeers import ASSUMED_DAEMONS, LINGER_SECONDS, QuotaPeers
 
 UPDATE_INTERVAL_SECONDS = 0.05
-"""Time between two updates to a peer. A customer that asks for five times its quota can
-exceed it by a quarter of a second's worth of units in this time."""
+"""Time between two updates to a peer. In this time a customer that asks for five times
+its quota is admitted up to as many units as its quota refills in a quarter of a
+second."""
 
 HEARTBEAT_SECONDS = 0.2
 """Time between two updates to a peer when no request was admitted."""
@@ -34,7 +35,8 @@
     """A quota update from one daemon to another.
 
     Attributes:
-        start: Differs between two starts of the sender.
+        start: Changes whenever the sender's counts restart from 0, also at each start
+            of the sender.
         is_entry: Whether the sender is an entry daemon.
         is_synced: Whether its levels include what the whole fleet spent.
         wants_relay: Whether the receiver should relay what the sender spends.
@@ -52,7 +54,8 @@
     """The quotas of all customers, as tracked by one daemon of the fleet.
 
     Args:
-        start: Differs between two starts of this daemon.
+        start: Differs between two starts of this daemon; increases whenever its counts
+            restart from 0.
         started_seconds: When this daemon started.
 
     Attributes:
@@ -107,7 +110,8 @@
     def set_entry(self, peers: Iterable[DaemonId], now_seconds: float) -> None:
         """Make this daemon an entry daemon, with the other entry daemons as peers."""
         if self._peers.is_standby:
-            # Peers that dropped this daemon would count its earlier units twice.
+            # Otherwise peers that have dropped this daemon's counts would count its
+            # earlier units again.
             self._restart_counts()
         self._peers.set_entry(peers, now_seconds)
         self._refresh_peers(now_seconds)
--- a/lycheepost/decide/freshness.py
+++ b/lycheepost/decide/freshness.py
@@ -4,8 +4,8 @@
 serving it after the revocation should be in force everywhere. A keyed request is
 therefore served only if the configuration was confirmed as the newest within a bound.
 The age is counted from before the confirming call was sent, by a clock that includes
-suspension: a slow response or a suspended daemon makes the confirmation older, never
-younger.
+time spent suspended: a slow response or a suspended daemon makes the confirmation
+older, never younger.
 """
 
 from dataclasses import dataclass
@@ -42,7 +42,8 @@
 
 LONG_POLL_SHARE = 0.4
 """Share of the trusted time that a poll is held open. The response confirms the state
-at the time the poll was sent, so confirmations in use are up to twice as old."""
+at the time the poll was sent, so confirmations in use are up to twice as old as a poll
+is held open."""
 
 
 def long_poll_seconds(rule: KeyTrustRule) -> float:
@@ -59,7 +60,7 @@
         rule: The bound in force.
         confirmed_seconds: When the configuration was last known to be the newest;
             None when it never was.
-        now_seconds: The current time, by a clock that includes suspension.
+        now_seconds: The current time, by a clock that includes time spent suspended.
     """
     if confirmed_seconds is None:
         return False
--- a/lycheepost/decide/group.py
+++ b/lycheepost/decide/group.py
@@ -55,15 +55,15 @@
 placing the prefix elsewhere would be too expensive and it would never gain owners."""
 
 COLD_DISCOUNT = 1.0
-"""How far pressure shortens the queue wait of a prompt whose shared prefix is not
-cached. Batches are then served as a whole while their prefix is cached. Otherwise parts
-of every batch are served, each prefix is evicted between two of its requests, and the
-engines spend their time recomputing. When too few new batches are admitted, the queue
-runs empty and the pressure falls."""
+"""How much of the allowed wait full pressure takes from a prompt whose shared prefix is
+not cached. Requests that share a prefix (a batch) are then served together while it is
+cached. Without the discount, parts of every batch are served, each prefix is evicted
+between two of its requests, and the engines spend their time recomputing. When too few
+uncached prefixes are admitted, the queue runs empty and the pressure falls."""
 
 MAX_COLD_LEAD = -4.0
-"""Lead over the fair order, in mean request costs, below which a customer's new batches
-are admitted under pressure, so that every customer is served eventually."""
+"""Lead over the fair order, in mean request costs, below which a customer's uncached
+prefixes are admitted under pressure, so that every customer is served eventually."""
 
 ENGINE_WAIT_SHARE = 0.05
 """Share of the first-token timeout that work may wait inside an engine. Work that waits
@@ -84,7 +84,7 @@
 is refused only if the engines are too slow. The rest covers prediction errors."""
 
 
-def _is_warm(work: Work, choice: Choice) -> bool:
+def _is_shared_prefix_cached(work: Work, choice: Choice) -> bool:
     levels = work.levels
     if len(levels) < 2:
         return True
@@ -139,8 +139,9 @@
     def _usual_cost_seconds(self, work: Work) -> float:
         """Return the cost at the group's average cache hit rate.
 
-        A refused prefix is never cached. Measured by actual cost, its customer's demand
-        would seem to grow, and more of it would be refused for that.
+        A prefix whose requests are refused is never cached, so their actual cost is
+        high. If demand were measured by it, the customer's demand would seem to grow
+        and still more requests would be refused.
         """
         uncached_share = self.placement.rates.uncached_share
         return self._cost_seconds(work, int(work.prompt_tokens * uncached_share))
@@ -198,10 +199,11 @@
                 self.late.add(waiting)
 
     def _has_waited_long(self, waiting: QueuedRequest, now_seconds: float) -> bool:
-        """Return whether a customer inside its share has waited half its time.
+        """Return whether a request of a customer inside its share waited half its time.
 
-        It waits for the owner of its prefix, which customers over their share keep
-        full. The price of recomputation under pressure then no longer applies to it.
+        It waits for the owner of its prefix, which requests of customers over their
+        share keep full. It is then placed without the price of recomputation under
+        pressure.
         """
         halfway = (waiting.enqueued_seconds + waiting.give_up_seconds) / 2
         return now_seconds > halfway and self.shares.is_within_share(
@@ -237,7 +239,10 @@
         if self.shares.is_within_share(work.customer):
             return work.first_token_timeout_seconds * INSIDE_TIMEOUT_SHARE
         budget = budget_seconds(work, self._settings)
-        if _is_warm(work, choice) or self._lead_seconds(work) < MAX_COLD_LEAD:
+        if (
+            _is_shared_prefix_cached(work, choice)
+            or self._lead_seconds(work) < MAX_COLD_LEAD
+        ):
             return budget
         if (
             choice.can_take
--- a/lycheepost/decide/hotprefixes.py
+++ b/lycheepost/decide/hotprefixes.py
@@ -2,7 +2,7 @@
 
 A starting target is warmed with the stored blocks of these before it takes traffic.
 Only a bounded number of prefixes is counted, by the space-saving algorithm: a new
-prefix replaces the rarest one and takes over its count. Memory so does not grow with
+prefix replaces the rarest one and takes over its count. So memory does not grow with
 the prefixes of 990 customers. Counts are halved periodically, so that prefixes that are
 no longer hot are replaced.
 """
--- a/lycheepost/decide/kvstorecontents.py
+++ b/lycheepost/decide/kvstorecontents.py
@@ -67,7 +67,7 @@
         for store in set(self._stores) - set(stores):
             del self._stores[store]
 
-    def kept_tokens(self, store: str, levels: Sequence[PrefixLevel]) -> int:
+    def stored_tokens(self, store: str, levels: Sequence[PrefixLevel]) -> int:
         """Return the tokens of the longest prefix that a store holds.
 
         Args:
@@ -100,7 +100,7 @@
         missing = [
             level.digest
             for level in shared
-            if not self._is_kept(store, level.digest, now_seconds)
+            if not self._is_stored(store, level.digest, now_seconds)
         ]
         if not missing:
             return False
@@ -108,7 +108,7 @@
             self._note_sent(store, digest, now_seconds)
         return True
 
-    def _is_kept(self, store: str, digest: PrefixDigest, now_seconds: float) -> bool:
+    def _is_stored(self, store: str, digest: PrefixDigest, now_seconds: float) -> bool:
         contents = self._stores.get(store)
         if contents is not None and contents.holds(digest):
             return True
--- a/lycheepost/decide/latework.py
+++ b/lycheepost/decide/latework.py
@@ -58,7 +58,7 @@
         return self._credit_seconds >= self._waiting[0].cost_seconds
 
     def count_on_time(self, cost_seconds: float) -> None:
-        """Count work that was dispatched before the late requests."""
+        """Count dispatched work of a request that is not late."""
         if self._waiting:
             self._credit_seconds += LATE_SHARE * cost_seconds
 
--- a/lycheepost/decide/levels.py
+++ b/lycheepost/decide/levels.py
@@ -16,7 +16,8 @@
 """Average for English text with common byte-pair vocabularies."""
 
 FIRST_SPLIT_BYTES = 4096
-"""A shorter message is one level: about 1,000 tokens, 50 ms of prefill."""
+"""A shorter message is one level: about 1,000 tokens, 50 ms of prefill at
+20,000 tokens a second."""
 
 SPLIT_GROWTH = 2
 """Each further split lies twice as far in: the number of levels grows with the
--- a/lycheepost/decide/load.py
+++ b/lycheepost/decide/load.py
@@ -23,9 +23,9 @@
 
 SHARED_WINDOW_TOKENS = 4_500
 """Prompt tokens of all daemons together that may wait at one target. They keep its
-engine busy for about 0.1 s, until more can arrive. Further work waits in the daemon,
-where it can still be reordered, sent to the target that caches its prefix, or refused
-in time."""
+engine busy for about 0.1 s at 45,000 tokens a second, until more can arrive. Further
+work waits in the daemon, where it can still be reordered, sent to the target that
+caches its prefix, or refused in time."""
 
 MAX_REPORT_AGE_SECONDS = 10.0
 """Older reports are ignored."""
@@ -73,8 +73,8 @@
         peers_tokens: Uncached tokens of peers that wait there.
         peers_running: Requests of peers that run there.
         slowness: Smoothed ratio of observed to predicted first-token time.
-        is_shared: Whether peers report their load there.
-        rate_limiter: Its rate limit for this daemon; None while it names none.
+        has_peer_reports: Whether peers report their load there.
+        rate_limiter: Its rate limit for this daemon; None while it sets no limit.
         backoff_until_seconds: End of the back-off that it asked this daemon for.
     """
 
@@ -90,7 +90,7 @@
     peers_running: float = 0.0
     reported_seconds: float = float("-inf")
     slowness: Slowness = field(default_factory=Slowness)
-    is_shared: bool = False
+    has_peer_reports: bool = False
     rate_limiter: RequestPacer | None = None
     backoff_until_seconds: float = float("-inf")
     history: deque[OwnLoad] = field(default_factory=deque)
@@ -198,7 +198,7 @@
         self.peers_tokens = float(tokens)
         self.peers_running = float(n_running)
         self.reported_seconds = now_seconds
-        self.is_shared = True
+        self.has_peer_reports = True
         self._update_backlog(now_seconds)
 
     def estimate(self, now_seconds: float) -> tuple[float, float]:
@@ -209,9 +209,9 @@
 
     def has_capacity(self, n_running: float, now_seconds: float) -> bool:
         """Return whether it may take one more request besides ``n_running``."""
-        if self.is_throttled(now_seconds) or n_running >= self.limit():
+        if self.is_throttled(now_seconds) or n_running >= self.max_requests():
             return False
-        if self.is_shared:
+        if self.has_peer_reports:
             token_seconds = self._token_seconds(now_seconds)
             return self.backlog.left(token_seconds, now_seconds) < SHARED_WINDOW_TOKENS
         # One request is always allowed: a long prompt may exceed the window.
@@ -244,9 +244,9 @@
         return (
             1.0
             if is_engine or self.rate_limiter is not None
-            else self.limit() - n_running
+            else self.max_requests() - n_running
         )
 
-    def limit(self) -> float:
+    def max_requests(self) -> float:
         """Return the most requests that it should have at a time."""
         return max(1.0, self.view.concurrency_limit * self.view.serving_share)
--- a/lycheepost/decide/mechanisms.py
+++ b/lycheepost/decide/mechanisms.py
@@ -23,7 +23,8 @@
     RANDOM_ADMISSION = "random_admission"
     """Daemons randomly divide free slots that all of them see; off: each takes them."""
     LATE_LAST = "late_last"
-    """Late requests get a lower priority; off: all are ordered by arrival."""
+    """Late requests get a lower priority; off: they stay in the order of the
+    fair queue."""
     RUNS_END = "runs_end"
     """Orders to targets wait until their runs have ended; off: for a fixed time."""
     NEW_WEIGHTS = "new_weights"
--- a/lycheepost/decide/notices.py
+++ b/lycheepost/decide/notices.py
@@ -67,8 +67,9 @@
             notice: The notice.
             sent_seconds: When the request was sent.
             now_seconds: The present time.
-            is_sealed: Whether the response carries the target's seal. One without it
-                may be corrupted, so it ends no limit.
+            is_sealed: Whether the response carries the target's seal, a header that
+                targets add to their responses. A response without it may be corrupted,
+                so it ends no limit.
             was_not_run: Whether the target states that it did not run the request. A
                 response with neither this nor a seal does not mark a target as leaving,
                 which would be permanent.
@@ -92,6 +93,6 @@
         return changes
 
     def keep(self, targets: Collection[TargetId], now_seconds: float) -> None:
-        """Drop other targets' limits, and those of their back-offs that are over."""
+        """For all targets except these, drop the limits and the ended back-offs."""
         self.limits.keep(targets)
         self.backoffs.keep(targets, now_seconds)
--- a/lycheepost/decide/placement.py
+++ b/lycheepost/decide/placement.py
@@ -1,13 +1,14 @@
 """Placement: chooses the target with the lowest predicted cost for a request.
 
 Cost = predicted time to the first token, plus the prefill that another target would
-avoid, each by the deployment's weight, plus the target's penalty. The deployment
-Prairie gives more weight to the wait, Mercia to the recomputation. Under pressure
+avoid, each by the deployment's weight, plus the target's penalty. Some deployments give
+more weight to the wait, others to the recomputation. Owners are the first targets of a
+prefix on the ring; holders are targets that were recently sent it. Under pressure
 avoidable prefill costs more: otherwise each request that finds its owner full is
 recomputed elsewhere, which loads the group further and fills the next owner, until most
-of its work is recomputation. A small preference by ring order makes daemons agree on a
-new prefix before cache events reach them. It also lets a hot prefix gain owners as its
-first ones fill up, and lose them when demand falls.
+of the group's work is recomputation. A small preference by ring order makes daemons
+agree on a new prefix before cache events reach them. It also lets a hot prefix gain
+owners as its first ones fill up, and lose them when demand falls.
 """
 
 import math
@@ -37,9 +38,9 @@
 targets are broken in an order that differs from request to request."""
 
 PRESSURE_PRICE = 20.0
-"""Price of a second of avoidable prefill while the queue is never empty, in seconds of
-wait. It takes engine time from a request that is then refused, which outweighs a
-shorter wait of this request."""
+"""Price of a second of avoidable prefill at full pressure (1.0), in seconds of wait.
+Avoidable prefill takes engine time from another request, which is then refused; that
+outweighs a shorter wait of this request."""
 
 MAX_OWNER_STEPS = 4
 """All targets beyond this many steps have the same cost."""
@@ -48,6 +49,8 @@
 """Two random targets are added, in case all owners and holders are full."""
 
 HOLDERS_PER_DIGEST = 6
+"""Most recent holders remembered per prefix."""
+
 MAX_HELD_DIGESTS = 100_000
 """Bounds memory to about 20 MB for the prefixes that one daemon handles."""
 
@@ -101,7 +104,12 @@
 
 
 class Placement:
-    """Selects and scores candidates within one target group."""
+    """Selects and scores candidates within one target group.
+
+    Attributes:
+        pressure: From 0 to 1; smoothed share of recent ticks in which requests waited
+            while at least ``PRESSURE_FULL_SHARE`` of the targets were full.
+    """
 
     def __init__(self, settings: SchedulerSettings, rng: random.Random) -> None:
         self._settings = settings
@@ -268,9 +276,9 @@
                 or load.backoff_until_seconds > now_seconds
             ):
                 wait += load.throttled_seconds(now_seconds, n_ahead)
-            excess = n_running + n_ahead + 1.0 - load.limit()
+            excess = n_running + n_ahead + 1.0 - load.max_requests()
             if excess > 0.0:
-                wait += excess * rates.hold_seconds / load.limit()
+                wait += excess * rates.hold_seconds / load.max_requests()
             steps = owners.index(target) if target in owners else MAX_OWNER_STEPS
             score = (
                 wait_weight * wait
@@ -300,7 +308,8 @@
     Returns:
         The target, the prompt tokens that it has to prefill, and those that it can
         fetch from a KV store instead. A fetch takes a small part of the time of a
-        prefill and no engine time, so stored tokens tie a prompt to no target.
+        prefill and no engine time, so stored tokens are no reason to prefer one
+        target.
     """
     version = work.weights_version
     usable: list[tuple[TargetLoad, int, int]] = []
@@ -309,8 +318,8 @@
         if view.target in avoid or (version and view.weights_version != version):
             continue
         cached = load.cache_estimate.cached_tokens(work.levels)
-        kept = work.kept_tokens if view.fetch_token_seconds > 0.0 else 0
-        fetched = kept - cached if kept > cached else 0
+        stored = work.stored_tokens if view.fetch_token_seconds > 0.0 else 0
+        fetched = stored - cached if stored > cached else 0
         uncached = work.prompt_tokens - cached - fetched
         usable.append((load, uncached if uncached > 0 else 0, fetched))
     return usable
--- a/lycheepost/decide/quarantine.py
+++ b/lycheepost/decide/quarantine.py
@@ -16,11 +16,12 @@
 
 
 RECENT_LOSS_SECONDS = 3.0
-"""Fingerprints lost within this time are retried at about the same time."""
+"""Requests that were lost within this time of each other are retried at about the same
+time."""
 
 MAX_RECENT_LOSSES = 64
-"""Fingerprints that are ranked, as many as one target runs. If more are lost, only the
-newest are ranked."""
+"""Limit of recent losses that are ranked to assign suspects to targets: about as many
+requests as one target runs. If more are lost, only the newest are ranked."""
 
 PEER_SUSPECT_SECONDS = 2.0
 """How long this daemon's suspects avoid a target to which a peer sent a suspect. A
--- a/lycheepost/decide/queueing.py
+++ b/lycheepost/decide/queueing.py
@@ -46,7 +46,7 @@
     """One queued request.
 
     Attributes:
-        rank: Order within the customer; lower goes first.
+        rank: Order within the customer, in seconds (see ``rank_of``); lower goes first.
         cost_seconds: Predicted engine time.
         deadline_seconds: When the caller's timeout ends.
         give_up_seconds: When it is refused if it still waits.
--- a/lycheepost/decide/quotameter.py
+++ b/lycheepost/decide/quotameter.py
@@ -30,7 +30,7 @@
     """One daemon's report on one customer.
 
     Attributes:
-        spent: Units that it has admitted since its start.
+        spent: Units that it has admitted since its counts last restarted from 0.
         level: Units left for the fleet, as far as it knows.
     """
 
@@ -59,7 +59,7 @@
         fleet: Units left for the whole fleet.
         reachable: Units left for the reachable daemons while others are unreachable;
             None while all are reachable.
-        spent: Units admitted here since the start.
+        spent: Units admitted here since the counts last restarted from 0.
         reported_spent: Units spent as last reported by each daemon.
         n_refused: Requests refused here.
         is_changed: Whether units were admitted here since the last update to the peers.
@@ -77,7 +77,9 @@
     _partition_spent: float = 0.0
     """Units spent by the reachable daemons since others became unreachable."""
     _promised: float = 0.0
+    """Units of refused requests whose retry time has not come yet."""
     _promised_seconds: float = 0.0
+    """When ``_promised`` was last updated."""
 
     def catch_up(self, now_seconds: float) -> None:
         """Refill the buckets, and apply a lower quota that is due."""
--- a/lycheepost/decide/quotapeers.py
+++ b/lycheepost/decide/quotapeers.py
@@ -44,7 +44,8 @@
 
     Attributes:
         last_listed_seconds: When it was last listed as a peer.
-        start: Differs between two of its starts; None before its first message.
+        start: Changes whenever its counts restart from 0, also at each of its starts;
+            None before its first message.
         last_contact_seconds: When it last sent a message.
     """
 
@@ -86,7 +87,9 @@
     _relayed: dict[DaemonId, _Peer] = field(default_factory=dict)
     _relay_contact_seconds: float = float("-inf")
     _n_daemons: int = ASSUMED_DAEMONS
+    """Daemons that share a quota now."""
     _n_expected: int = ASSUMED_DAEMONS
+    """Daemons that there may be, including those not yet reachable."""
 
     def set_fleet(self, n_daemons: int) -> None:
         """Set how many daemons there may be, including those not yet reachable.
@@ -122,11 +125,14 @@
 
     @property
     def needs_relay(self) -> bool:
-        """Return whether no peer expects updates from this daemon, as on standby."""
+        """Return whether this daemon reports only through a relay.
+
+        It is no entry daemon, and no peer expects its updates any more.
+        """
         return not (self.is_entry or self._peers)
 
     def listeners(self) -> tuple[DaemonId, ...]:
-        """Return current and recent peers, and standby daemons that use this relay."""
+        """Return current and recent peers, and daemons that use this one as relay."""
         return tuple(sorted({*self._peers, *self._relayed}))
 
     def is_peer(self, daemon: DaemonId) -> bool:
--- a/lycheepost/decide/records.py
+++ b/lycheepost/decide/records.py
@@ -1,7 +1,7 @@
 """Input and output records of the scheduler.
 
 ``decide.scheduler`` takes these records and returns ``Outcome`` records. The daemon and
-the policy bench use the same ones.
+the policy bench, which runs the scheduler without a daemon, use the same ones.
 """
 
 from dataclasses import dataclass, field
@@ -39,7 +39,7 @@
 
 
 class RefusalReason(Enum):
-    """Why a request was refused before it reached any target."""
+    """Why the scheduler does not dispatch a request."""
 
     DEADLINE = "deadline"
     QUEUE_FULL = "queue_full"
@@ -67,7 +67,8 @@
     """One nested level of a prompt.
 
     Attributes:
-        digest: Chained digest of everything up to the end of this level.
+        digest: Digest of this level: chained over everything up to its end
+            (``decide.levels``), or of its part alone (``decide.promptlevels``).
         end_tokens: Estimated tokens from the start to the end of this level.
     """
 
@@ -88,7 +89,7 @@
         excluded: Targets that have already failed this request.
         objective_seconds: Latency objective for the first token, from the arrival;
             infinite if there is none.
-        kept_tokens: Tokens of the prompt's prefix that a KV store is estimated to
+        stored_tokens: Tokens of the prompt's prefix that a KV store is estimated to
             hold, for targets that can fetch them.
     """
 
@@ -107,7 +108,7 @@
     is_idempotent: bool = True
     excluded: frozenset[TargetId] = field(default_factory=frozenset)
     objective_seconds: float = float("inf")
-    kept_tokens: int = 0
+    stored_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -170,7 +171,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Refuse the request; it has reached no target.
+    """Don't dispatch the request.
+
+    On a retry, earlier attempts may have reached targets.
 
     Attributes:
         retry_after_seconds: When a retry may succeed; None if waiting does not help.
--- a/lycheepost/decide/requestpacer.py
+++ b/lycheepost/decide/requestpacer.py
@@ -17,7 +17,7 @@
 """Pause after a target sets a limit. What it got in the seconds before, from daemons
 that did not know the limit yet, mostly exceeds the limit already."""
 
-SLOT_EXPIRY_SECONDS = 2.0
+SEND_TIME_EXPIRY_SECONDS = 2.0
 """How long an unused send time stays valid."""
 
 
@@ -64,7 +64,7 @@
         When many requests arrive after a quiet minute, every daemon would otherwise
         send its request at the same time.
         """
-        if now_seconds - self.next_seconds > SLOT_EXPIRY_SECONDS:
+        if now_seconds - self.next_seconds > SEND_TIME_EXPIRY_SECONDS:
             self.next_seconds = now_seconds + rng.random() * self.interval_seconds
 
 
--- a/lycheepost/decide/rollout.py
+++ b/lycheepost/decide/rollout.py
@@ -4,9 +4,9 @@
 older weights are worth less to callers the longer that takes. A target that changes its
 weights serves nothing meanwhile and loses its cache. So a few targets change at a time,
 the least busy first, each directly to the newest version: a superseded version is never
-loaded. Before its order a target is drained until its runs have ended, or for a short
-time: output under other weights than those a run began with is worthless to its caller,
-and the pause of the change delays each stream.
+loaded. Before a target is ordered to change, it gets no new work until its runs have
+ended, or for a short time. The output of a run that continues under other weights than
+it began with is worthless to its caller, and the change pauses every stream.
 """
 
 from collections.abc import Sequence
@@ -60,7 +60,7 @@
     """One target as seen by the daemon that runs the rollout.
 
     Attributes:
-        version: Number of its weights among the versions of its model.
+        version: Ordinal of its weights among the versions of its model.
         n_running: Requests that it runs, by its last report.
         is_changing: Whether an order to it is in progress, even to a superseded
             version: it accepts no other until that is done.
--- a/lycheepost/decide/routes.py
+++ b/lycheepost/decide/routes.py
@@ -126,12 +126,13 @@
 def choose_kv_store(table: RouteTable, levels: Sequence[PrefixLevel]) -> str:
     """Return the address of the KV store for a prompt; empty for none.
 
-    Prompts are divided among the stores by their shared prefix. If each engine used the
-    store of its zone instead, every store would be sent everything. With three stores
-    that each hold half of the shared prefixes, entries would be evicted before they are
-    fetched, and zones without a store would overload the link of one, which a third of
-    the fetches fills. Divided, the stores hold all of it and each link carries its
-    share. Transfers between zones take twice as long, a few milliseconds.
+    Prompts are divided among the stores by their shared prefix. Suppose three stores,
+    each with capacity for half of the shared prefixes. If each engine used the store of
+    its zone, every store would be sent all of them, and entries would be evicted before
+    they are fetched. Zones without a store would also all fetch from one store, whose
+    link is full with a third of all fetches. Divided by prefix, the stores together
+    hold all shared prefixes and each link carries a third of the fetches. Transfers
+    between zones take twice as long, a few milliseconds.
     """
     digest = shared_digest(levels)
     if digest is None:
--- a/lycheepost/decide/scheduler.py
+++ b/lycheepost/decide/scheduler.py
@@ -1,7 +1,8 @@
 """Scheduler: decides for each request to dispatch it, queue it or refuse it.
 
 There is one scheduler per daemon. Its methods get the time as an argument and do no
-input or output, so the daemon and the policy bench run the same decisions.
+input or output, so the daemon and the policy bench, which runs the scheduler without a
+daemon, make the same decisions.
 """
 
 import random
@@ -37,7 +38,8 @@
 from lycheepost.generated.engine import CacheEvent
 
 GONE_RETRY_SECONDS = 2.0
-"""Lost targets, or their replacements, become available within a few seconds."""
+"""Retry time after lost targets: they, or their replacements, become available within a
+few seconds."""
 
 
 class Scheduler:
@@ -45,7 +47,8 @@
 
     Args:
         settings: Bounds and weights.
-        seed: Seed of jitter and random candidates, so that runs are repeatable.
+        seed: Seed of jitter and random candidates, so that a simulation can be
+            repeated.
     """
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
--- a/lycheepost/decide/sharedlevel.py
+++ b/lycheepost/decide/sharedlevel.py
@@ -10,7 +10,8 @@
     """Return the deepest level that other prompts may share; None without levels.
 
     The last level ends with the request's own text, which is rarely repeated. The level
-    above it ends with the album or the batch of letters.
+    above it ends with text that several requests have in common, for example a batch
+    of documents.
     """
     if not levels:
         return None
--- a/lycheepost/decide/shares.py
+++ b/lycheepost/decide/shares.py
@@ -4,8 +4,9 @@
 together with the large customers that cause the overload. Demand is averaged per
 customer over some seconds, and the measured capacity is divided max-min fairly: no
 customer gets more than it requests, and what small customers leave is divided among the
-others. A customer whose demand is below the level of this division is within its share,
-and its requests are not refused because of other customers' load.
+others. The level of this division is the most engine time per weight that it gives any
+customer. A customer whose demand is below the level is within its share, and its
+requests are not refused because of other customers' load.
 """
 
 import math
--- a/lycheepost/decide/silence.py
+++ b/lycheepost/decide/silence.py
@@ -33,8 +33,9 @@
 
 IDLE_TIMEOUT_GAPS = 2.5
 """Idle timeout between two events, in gap objectives. Under full load engines pause for
-0.4 to 0.6 s with an objective of 0.5 s; with a limit of 0.45 s a fleet of 45 engines
-abandoned 635 runs of 4,276 and prefilled their prompts again."""
+0.4 to 0.6 s with an objective of 0.5 s. A limit below that, such as 0.45 s, abandons
+some 15% of the runs (635 of 4,276 with 45 engines), and their prompts are prefilled
+again."""
 
 
 def caller_stream_timeout_seconds(route: Route) -> float:
--- a/lycheepost/decide/versions.py
+++ b/lycheepost/decide/versions.py
@@ -1,11 +1,11 @@
 """Chooses the weights version that serves a request.
 
 During a rollout some targets of a model hold the current version and some the next. A
-request must run on one version from its fingerprint to its last token, as cached
-blocks, continuation on another target and the engine's check depend on it. Requests are
-split by a stable key, in proportion to the capacity of the targets of each version, so
-that requests that share a prefix stay together on warm caches while the split follows
-the rollout.
+request must run on one version from its fingerprint to its last token: cached blocks,
+continuation on another target, and the engine's check that its weights are the
+requested ones depend on it. Requests are split by a stable key, in proportion to the
+capacity of the targets of each version, so that requests that share a prefix stay
+together on warm caches while the split follows the rollout.
 """
 
 from collections.abc import Iterable
@@ -69,8 +69,8 @@
     Args:
         models: The models in force.
         targets: The scheduler's targets. Those that take no new work do not count
-            towards their version's capacity: right after a load, a target's health
-            response may be a second behind the configuration.
+            towards their version's capacity, since a target's reported version may be a
+            second old just after it loaded weights.
     """
     capacity: dict[tuple[TargetGroupId, str], float] = {}
     for target in targets:
