--- a/lycheepost/decide/concurrency.py
+++ b/lycheepost/decide/concurrency.py
@@ -14,8 +14,8 @@
 """One prefill chunk; with less the engine's iterations would be half empty."""
 
 MAX_TOKENS = 65_536
-"""Upper bound at any delay: some four seconds of prefill on one engine, at 16,000 tokens
-a second."""
+"""Upper bound at any delay: some four seconds of prefill on one engine at 16,000
+tokens a second."""
 
 INITIAL_TOKENS = 8192
 """Half a second of prefill at 16,000 tokens a second: a restarted daemon neither
