--- a/lycheepost/ports/http_objects.py
+++ b/lycheepost/ports/http_objects.py
@@ -76,4 +76,4 @@
     try:
         return Success(msgspec.json.decode(data, type=tuple[str, ...]))
     except msgspec.DecodeError:
-        return Failure(ObjectError("The listing could not be decoded."))
+        return Failure(ObjectError("The listing could not be read."))
--- a/lycheepost/ports/http_table.py
+++ b/lycheepost/ports/http_table.py
@@ -93,7 +93,7 @@
     try:
         return Success(msgspec.json.decode(data, type=answer_type))
     except (msgspec.DecodeError, ValueError, RecursionError):
-        return Failure(_lost_answer_error("The answer could not be decoded.", is_write))
+        return Failure(_lost_answer_error("The answer could not be read.", is_write))
 
 
 def _check_rows(
@@ -105,7 +105,7 @@
     be assigned to the wrong keys.
     """
     if len(answer.rows) != n_keys:
-        return Failure(TableUnavailable("The answer has the wrong number of rows."))
+        return Failure(TableUnavailable("The answer has another number of rows."))
     return Success(answer.rows)
 
 
--- a/lycheepost/ports/http_vms.py
+++ b/lycheepost/ports/http_vms.py
@@ -41,4 +41,4 @@
     try:
         return Success(msgspec.json.decode(data, type=tuple[Vm, ...]))
     except msgspec.DecodeError:
-        return Failure(VmListError("The VM list could not be decoded."))
+        return Failure(VmListError("The VM list could not be read."))
--- a/lycheepost/ports/http_weights.py
+++ b/lycheepost/ports/http_weights.py
@@ -47,4 +47,4 @@
     try:
         return Success(msgspec.json.decode(data, type=tuple[WeightsInfo, ...]))
     except msgspec.DecodeError:
-        return Failure(WeightsError("The versions could not be decoded."))
+        return Failure(WeightsError("The versions could not be read."))
--- a/lycheepost/state/claim_completion.py
+++ b/lycheepost/state/claim_completion.py
@@ -112,7 +112,7 @@
         # A caller that disconnects in the meantime must not cancel the write.
         if await asyncio.shield(first):
             return Success(None)
-        return Failure(ClaimError("The store is unreachable; retrying in background."))
+        return Failure(ClaimError("The store is not reachable; it is tried again."))
 
     def fence_later(self, held: HeldClaim) -> None:
         """Release a claim of unknown outcome, so that it never counts as having run."""
--- a/lycheepost/state/claims.py
+++ b/lycheepost/state/claims.py
@@ -215,7 +215,7 @@
         self, held: HeldClaim, fingerprint: BodyFingerprint
     ) -> Result[ClaimOutcome, ClaimError]:
         if held.is_fencing:
-            return Failure(ClaimStoreDown("An earlier attempt is being fenced."))
+            return Failure(ClaimStoreDown("An earlier try is being given up."))
         if held.attempt.row.fingerprint != fingerprint:
             return Success(BodyDiffers())
         if held.answer is not None:
@@ -247,7 +247,7 @@
                 case Failure(error):
                     return Failure(ClaimStoreDown(error.reason))
         self._completer.fence_later(held)
-        return Failure(ClaimStoreDown("The claim's outcome was not determined."))
+        return Failure(ClaimStoreDown("The claim did not settle."))
 
     async def _resolve_conflict(
         self, held: HeldClaim
--- a/lycheepost/state/commit_retry.py
+++ b/lycheepost/state/commit_retry.py
@@ -80,7 +80,7 @@
                 return outcome
         if clock.now_seconds() + backoff_seconds >= deadline_seconds:
             if is_unknown:
-                return Failure(OutcomeUnknown("The outcome could not be determined."))
+                return Failure(OutcomeUnknown("The outcome could not be settled."))
             return outcome
         await asyncio.sleep(backoff_seconds)
         backoff_seconds = min(MAX_BACKOFF_SECONDS, 2 * backoff_seconds)
--- a/lycheepost/state/revision_rows.py
+++ b/lycheepost/state/revision_rows.py
@@ -191,7 +191,7 @@
         case Success(found) if found == data:
             return Success(None)
         case Success(_):
-            return Failure(StateError("The snapshot read back differs."))
+            return Failure(StateError("The snapshot was not written whole."))
         case Failure(error):
             return Failure(StoreUnreachable(error.reason))
     raise AssertionError("unreachable")
@@ -208,7 +208,7 @@
     try:
         return Success(decode_delta(data).changes)
     except _DECODE_ERRORS:
-        return Failure(StateError("The snapshot cannot be decoded."))
+        return Failure(StateError("The snapshot cannot be read."))
 
 
 async def _join_parts(
