--- a/features/peers/steps/feedshare_steps.py
+++ b/features/peers/steps/feedshare_steps.py
@@ -132,7 +132,7 @@
             TABLE,
             self.loop,
             lambda: HELD_SECONDS,
-            lambda seen: self.take(follower, seen),
+            lambda seen: self.apply(follower, seen),
         )
         follower.exchange = exchange
         return follower
@@ -145,7 +145,7 @@
         above = {0: (), 1: (0,), 2: (1, 0)}.get(index, (1 + index % 2, 2 - index % 2))
         return tuple(self.names[number] for number in above)
 
-    def take(self, follower, seen):
+    def apply(self, follower, seen):
         if seen.is_whole:
             follower.known.clear()
         for row in seen.rows:
@@ -343,16 +343,16 @@
 @given("a copy of a table with the changes of {n:d} answers")
 def step_copy(context, n):
     context.mirror = FeedMirror()
-    context.mirror.take(Changes((), 1, is_whole=True), None, 0.0)
+    context.mirror.apply(Changes((), 1, is_whole=True), None, 0.0)
     for version in range(2, n + 2):
         row = ChangedRow(f"row-{version % 7}", str(version).encode())
-        context.mirror.take(Changes((row,), version), version - 1, 0.0)
+        context.mirror.apply(Changes((row,), version), version - 1, 0.0)
 
 
 @when("an answer is applied that starts after a later version")
 def step_gap(context):
     version = context.mirror.version
-    context.mirror.take(Changes((), version + 9), version + 8, 0.0)
+    context.mirror.apply(Changes((), version + 9), version + 8, 0.0)
 
 
 @when("it is asked for the changes after version {after:d}")
--- a/lycheepost/peers/exchange.py
+++ b/lycheepost/peers/exchange.py
@@ -182,10 +182,10 @@
     def flooded_daemons(self) -> tuple[DaemonId, ...]:
         """Return the linked daemons to which floods are sent."""
         return tuple(
-            daemon for daemon, link in self._links.items() if self._floods(daemon, link)
+            daemon for daemon, link in self._links.items() if self._is_flooded(daemon, link)
         )
 
-    def _floods(self, daemon: DaemonId, link: _Link) -> bool:
+    def _is_flooded(self, daemon: DaemonId, link: _Link) -> bool:
         is_wanted = link.wants_floods or daemon in self._neighbours
         return is_wanted and daemon not in self._no_flood
 
@@ -352,7 +352,7 @@
     def _send_to_links(self, message: Any, excluded: DaemonId | None) -> None:
         data = encode_message(message)
         for daemon, link in list(self._links.items()):
-            if daemon != excluded and self._floods(daemon, link):
+            if daemon != excluded and self._is_flooded(daemon, link):
                 self._send_data(daemon, data)
 
     def _send_data(self, daemon: DaemonId, data: bytes) -> bool:
--- a/lycheepost/peers/feedshare.py
+++ b/lycheepost/peers/feedshare.py
@@ -214,7 +214,7 @@
         mirror = self._mirrors[table]
         match answer:
             case Success(changes):
-                mirror.take(changes, after, sent_seconds)
+                mirror.apply(changes, after, sent_seconds)
                 self._known_tables.add(table)
             case Failure(_):
                 mirror.note_lost()
@@ -306,7 +306,7 @@
             confirmed_seconds,
         )
         # Without these changes the copy would have a gap once the store is asked again.
-        self._mirrors[table].take(changes, after, confirmed_seconds)
+        self._mirrors[table].apply(changes, after, confirmed_seconds)
         return changes
 
     async def _send(self, source: DaemonId, ask: FeedAsk) -> FeedAnswer | PeerFailure:
--- a/lycheepost/peers/membership.py
+++ b/lycheepost/peers/membership.py
@@ -64,9 +64,9 @@
             state = TargetState(update.state)
         except ValueError:
             return
-        sign = TargetSignal(SignalSource.PEER, state, update.valid_seconds)
+        signal = TargetSignal(SignalSource.PEER, state, update.valid_seconds)
         self._members.observe_target(
-            TargetId(update.target), sign, self._clock.now_seconds()
+            TargetId(update.target), signal, self._clock.now_seconds()
         )
 
     def _publish_member(self, member: Member) -> None:
@@ -95,11 +95,11 @@
             if members:
                 self._exchange.send(link, MemberNews(members=members))
 
-    def _publish_target(self, target: TargetId, sign: TargetSignal) -> None:
+    def _publish_target(self, target: TargetId, signal: TargetSignal) -> None:
         self._exchange.broadcast(
             TargetNews(
                 target=target,
-                state=sign.state.value,
-                valid_seconds=sign.valid_seconds,
+                state=signal.state.value,
+                valid_seconds=signal.valid_seconds,
             )
         )
--- a/lycheepost/peers/neighbours.py
+++ b/lycheepost/peers/neighbours.py
@@ -72,7 +72,7 @@
     Without probes, two regions that were partitioned for an hour would never link
     again: each side has marked the other as gone.
     """
-    doubtful = sorted(
+    candidates = sorted(
         (
             member
             for member in members
@@ -82,6 +82,6 @@
         ),
         key=lambda member: member.daemon,
     )
-    if not doubtful:
+    if not candidates:
         return None
-    return doubtful[(turn + hash_bytes(me.encode())) % len(doubtful)]
+    return candidates[(turn + hash_bytes(me.encode())) % len(candidates)]
--- a/lycheepost/state/claim_batch.py
+++ b/lycheepost/state/claim_batch.py
@@ -162,11 +162,11 @@
                     return
                 case Failure(TableConflict(keys=keys) as error):
                     # Without the names of the keys, all rows count as conflicting.
-                    moved = set(keys) or {write.key for write in batch}
+                    conflicting = set(keys) or {write.key for write in batch}
                     for write in batch:
-                        if write.key in moved:
+                        if write.key in conflicting:
                             _resolve(write, Failure(error))
-                    batch = [write for write in batch if write.key not in moved]
+                    batch = [write for write in batch if write.key not in conflicting]
                 case Failure(TableThrottled()):
                     # Nothing was written: retry ahead of the others, at a lower rate.
                     self._limiter.throttled()
--- a/lycheepost/state/claim_completion.py
+++ b/lycheepost/state/claim_completion.py
@@ -29,7 +29,7 @@
     encode_claim,
 )
 
-_ROW_ANSWER_BYTES = 8192
+_MAX_ROW_ANSWER_BYTES = 8192
 """Larger answers go to the object store. A batch of 64 answers of this size is half a
 megabyte, which fits in one transaction."""
 _MAX_UNSTORED_BYTES = 8 * 1024 * 1024
@@ -148,10 +148,10 @@
             case Success():
                 return True
             case Failure(TableConflict()):
-                return await self._complete_at_moved_version(claim, row)
+                return await self._complete_at_new_version(claim, row)
         return False
 
-    async def _complete_at_moved_version(self, claim: Granted, row: ClaimRow) -> bool:
+    async def _complete_at_new_version(self, claim: Granted, row: ClaimRow) -> bool:
         """Write again after a conflict, on the row's current version.
 
         This is done only if an earlier write of this claim has changed the version.
@@ -186,11 +186,11 @@
                 return replace(row, state=state)
         if len(answer.body) > self._answer_bytes:
             return replace(row, state=ClaimState.UNKEPT)
-        if len(answer.body) <= _ROW_ANSWER_BYTES:
+        if len(answer.body) <= _MAX_ROW_ANSWER_BYTES:
             return replace(row, state=ClaimState.ANSWERED, answer=answer)
         name = ANSWER_PREFIX + claim.key + "/" + claim.row.token
-        head = f"{answer.status}\n{answer.content_type}\n".encode()
-        if isinstance(await self._objects.put(name, head + answer.body), Failure):
+        header = f"{answer.status}\n{answer.content_type}\n".encode()
+        if isinstance(await self._objects.put(name, header + answer.body), Failure):
             return None
         return replace(row, state=ClaimState.ANSWERED, answer_object=name)
 
--- a/lycheepost/state/duties.py
+++ b/lycheepost/state/duties.py
@@ -20,7 +20,7 @@
 from lycheepost.state.leases import Lease, LeaseManager, LeaseTaken
 from lycheepost.utils.tasks import start_task
 
-CANDIDATES = 3
+CANDIDATES_PER_DUTY = 3
 """Candidates per duty: enough to survive the loss of a rack or an availability zone,
 few enough that a duty costs less than one read a second."""
 _log = structlog.get_logger(part="duties")
@@ -174,7 +174,7 @@
 
 
 def is_candidate(
-    duty: str, me: DaemonId, members: tuple[Member, ...], n_candidates: int = CANDIDATES
+    duty: str, me: DaemonId, members: tuple[Member, ...], n_candidates: int = CANDIDATES_PER_DUTY
 ) -> bool:
     """Return whether ``me`` is among the candidates for ``duty``."""
     live = [member.daemon for member in members if member.state is MemberState.LIVE]
--- a/lycheepost/state/feedmirror.py
+++ b/lycheepost/state/feedmirror.py
@@ -47,7 +47,7 @@
     _confirmed_seconds: float = float("-inf")
     is_lost: bool = False
 
-    def take(
+    def apply(
         self, changes: Changes, after: int | None, confirmed_seconds: float
     ) -> None:
         """Apply a response of the store or of a peer.
--- a/lycheepost/state/members.py
+++ b/lycheepost/state/members.py
@@ -219,8 +219,8 @@
         thousand daemons each assumed to be the only one, all would read the table at
         once.
         """
-        has_looked = self.n_lists + self.n_failed_lists > 0
-        if len(self._members) == 1 and not has_looked:
+        has_polled = self.n_lists + self.n_failed_lists > 0
+        if len(self._members) == 1 and not has_polled:
             return 0
         live = (MemberState.LIVE, MemberState.SUSPECT)
         return max(1, sum(member.state in live for member in self._members.values()))
