--- a/lycheepost/peers/exchange.py
+++ b/lycheepost/peers/exchange.py
@@ -63,13 +63,13 @@
     n_silences: int = 0
     sent_seconds: float = float("-inf")
     revision: int = 0
-    """The highest revision that the other end is known to have been notified of."""
+    """The revision that the other end last reported or was notified of."""
     wants_floods: bool = True
-    """From the last hello of the other end."""
+    """Whether the other end wants floods, by its last hello."""
 
 
 class PeerExchange:
-    """Links of one daemon with its peers; made by ``make_peer_exchange``."""
+    """Links of one daemon with its peers; created by ``make_peer_exchange``."""
 
     def __init__(
         self,
@@ -182,7 +182,9 @@
     def flooded_daemons(self) -> tuple[DaemonId, ...]:
         """Return the linked daemons to which floods are sent."""
         return tuple(
-            daemon for daemon, link in self._links.items() if self._is_flooded(daemon, link)
+            daemon
+            for daemon, link in self._links.items()
+            if self._is_flooded(daemon, link)
         )
 
     def _is_flooded(self, daemon: DaemonId, link: _Link) -> bool:
@@ -375,8 +377,8 @@
 
     Floods over the links with neighbours alone reach the whole fleet. If they were sent
     to all ``peers`` as well, each daemon of a large fleet would receive every flood ten
-    times, and one that thirty others ask would send it thirty times. When ``peers`` are
-    the whole fleet, floods are sent to them directly.
+    times, and one that thirty others ask for changes would send it thirty times. When
+    ``peers`` are the whole fleet, floods are sent to them directly.
     """
     if len(peers) + 1 >= len(members):
         return frozenset()
@@ -402,7 +404,7 @@
         get_revision: Returns the current revision, which heartbeats carry.
         fanout: Links that this daemon opens.
         exchange_seconds: Time between heartbeats.
-        choose_peers: Picks further members to hold links with.
+        choose_peers: Chooses further members to hold links with.
     """
     return PeerExchange(
         transport,
--- a/lycheepost/peers/feedshare.py
+++ b/lycheepost/peers/feedshare.py
@@ -1,9 +1,9 @@
 """Follow the store through a peer that follows it, directly or through another peer.
 
-Few daemons poll the store. The others ask one of these, or a daemon that does, and
-poll the store themselves when no peer answers, or when all are behind or cut off. The
-number of calls to the store hardly grows with the number of daemons, and a peer passes
-on nothing that the store has not answered.
+Few daemons poll the store. The others ask one of these, or a daemon that does. They
+poll the store themselves when no peer answers, or when all are behind or have lost the
+store. The number of calls to the store hardly grows with the number of daemons, and a
+peer forwards only what the store has answered.
 
 The freshness of an answer is measured from the arrival of its request at the peer.
 That is after the request was sent here, so a state confirmed some time after the
@@ -32,7 +32,7 @@
 
 PEER_HOLD_SECONDS = 0.6
 """How long a peer holds a request without a change. Keys are accepted on confirmations
-of up to 3.8 s. A state passed on by a peer is up to 2.4 s old, and 3.0 s when its
+up to 3.8 s old. A state forwarded by a peer is up to 2.4 s old, and 3.0 s when its
 answer arrives."""
 
 MAX_PEERS_ASKED = 2
@@ -46,8 +46,8 @@
 zones a message takes a few milliseconds, and a daemon is rarely busy for that long."""
 
 FAILED_PEER_PAUSE_SECONDS = 5.0
-"""How long a peer that did not answer is not asked; the next one is, or the store.
-The death of a peer is detected within that time."""
+"""How long a peer that did not answer is not asked; the next peer or the store is asked
+instead. The death of a peer is detected within that time."""
 
 REFUSED_PEER_PAUSE_SECONDS = 2.0
 """How long a peer that refused is not asked. It has no recent answer of the store
@@ -55,8 +55,8 @@
 
 STORE_INTERVAL_SECONDS = 0.25
 """Minimum time between two requests to the store for one table. While weights are
-changed the entries of servers change some twenty times a second, and each change would
-cost a request of its own. Targets that leave must be known within two seconds."""
+changed the registrations of targets change some twenty times a second, and each change
+would cost a request of its own. Targets that leave must be known within two seconds."""
 
 START_DELAY_SECONDS = 1.2
 """How long after its start a daemon asks the store for no changes: by then it knows
@@ -67,7 +67,7 @@
 FALLBACK_STORE_INTERVAL_SECONDS = 0.8
 """Minimum time between two requests to the store where there are peers to ask but none
 answers. After the start of 200 daemons this lasts a second or two, during which the
-entries of all servers change."""
+registrations of all targets change."""
 
 LOST_STORE_INTERVAL_SECONDS = 3.0
 """Minimum time between two requests for a daemon that no peer asks, once the store has
@@ -116,7 +116,7 @@
     Args:
         store: Feed that asks the store itself.
         exchange: Links to the peers.
-        clock: A clock that counts suspension.
+        clock: A clock that includes time spent suspended.
         get_sources: Returns the peers to ask, best first; empty to ask the store.
     """
 
--- a/lycheepost/peers/neighbours.py
+++ b/lycheepost/peers/neighbours.py
@@ -67,7 +67,7 @@
 
 
 def choose_probe(me: DaemonId, members: Iterable[Member], turn: int) -> Member | None:
-    """Return one member that is suspect or gone, a different one each turn.
+    """Return a suspect or gone member to contact, a different one each turn.
 
     Without probes, two regions that were partitioned for an hour would never link
     again: each side has marked the other as gone.
--- a/lycheepost/peers/shared.py
+++ b/lycheepost/peers/shared.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedState:
-    """Components of one daemon's shared state; made by ``make_shared_state``."""
+    """Components of one daemon's shared state; created by ``make_shared_state``."""
 
     revisions: RevisionManager
     members: MemberManager
@@ -60,7 +60,7 @@
             await duty.start()
 
     async def drain(self) -> None:
-        """Withdraw from addresses answers, store answers and release duties."""
+        """Leave the address responses, store answers and release duties."""
         await self.members.drain()
         for duty in self.duties:
             await duty.drain()
@@ -101,14 +101,14 @@
     Args:
         ports: The platform's services.
         transport: Links to the other daemons.
-        clock: A clock that counts suspension.
+        clock: A clock that includes time spent suspended.
         settings: The daemon's settings.
         fallback: Configuration to serve from until a better source answers.
         callers_url: Where callers reach this daemon, if already known; otherwise
             set later by ``members.set_callers_url``.
         boot: Unique for each start of the daemon, also the seed of its jitter;
             generated when empty.
-        choose_peers: Picks members to hold links with, beside those of the rings.
+        choose_peers: Chooses members to hold links with, besides those of the rings.
     """
     daemon = DaemonId(settings.daemon.daemon_id)
     boot = boot or secrets.token_hex(6)
--- a/lycheepost/peers/socketreader.py
+++ b/lycheepost/peers/socketreader.py
@@ -15,7 +15,7 @@
 import zmq
 
 MAX_MESSAGES_PER_READ = 64
-"""Messages delivered in one go before the event loop runs other callbacks."""
+"""Messages delivered in sequence before the event loop runs other callbacks."""
 
 NOBLOCK = int(zmq.NOBLOCK)
 """As a plain integer: an operation on pyzmq's flags takes longer than a receive."""
--- a/lycheepost/peers/sockets.py
+++ b/lycheepost/peers/sockets.py
@@ -3,7 +3,7 @@
 Each daemon binds one ROUTER and opens one DEALER for each outgoing link. Answers go
 back over the link on which a message arrived. With keys, both ends prove that they hold
 a trusted key and every message is encrypted; a connection from an unknown peer ends in
-the handshake and reaches none of our code.
+the handshake, before any code of the daemon runs.
 
 Sends never block: when a queue is full the message is dropped and counted. Heartbeats
 repeat the state, so a dropped message only delays an update.
@@ -43,7 +43,7 @@
     """CURVE keys in Z85.
 
     Attributes:
-        trusted: Public keys accepted besides our own. To rotate the key of a
+        trusted: Public keys accepted besides ``public``. To rotate the key of a
             deployment, first add the new one here on every daemon.
     """
 
@@ -289,8 +289,8 @@
 
     Args:
         daemon: This daemon.
-        host: IP number to listen on.
-        port: Port to listen on; 0 takes a free one.
+        host: IP address to listen on.
+        port: Port to listen on; 0 for a free one.
         keys: CURVE keys; without them only loopback is allowed.
         queue_messages: Maximum number of messages queued on one link.
     """
--- a/lycheepost/ports/feed.py
+++ b/lycheepost/ports/feed.py
@@ -1,7 +1,7 @@
 """Interface to a table service that reports changes.
 
-Beside conditional writes (``ports.table``), such a service returns the changes after a
-version and holds the request open until there are some (long polling).
+In addition to conditional writes (``ports.table``), such a service returns the changes
+after a version and holds the request open until there are some (long polling).
 """
 
 from dataclasses import dataclass
@@ -25,8 +25,8 @@
     """Changes of one table, or all of its rows.
 
     Attributes:
-        rows: The changed rows, in order; all rows for a whole read.
-        version: The service's newest version when it answered.
+        rows: The changed rows, in order; all rows for a full read.
+        version: Newest version of the service when it answered.
         is_whole: Whether these are all rows; a row that is missing was removed.
         confirmed_seconds: Time at which the table was in this state, by the clock of
             the requesting daemon; None stands for the time the request was sent.
--- a/lycheepost/ports/http_objects.py
+++ b/lycheepost/ports/http_objects.py
@@ -12,7 +12,7 @@
 
 
 class HttpObjects:
-    """An implementation of ``ObjectPort``; made by ``make_http_objects``."""
+    """An implementation of ``ObjectPort``; created by ``make_http_objects``."""
 
     def __init__(self, caller: HttpCaller) -> None:
         self._caller = caller
--- a/lycheepost/ports/http_table.py
+++ b/lycheepost/ports/http_table.py
@@ -25,7 +25,7 @@
 
 
 class HttpTable:
-    """An implementation of ``TablePort``; made by ``make_http_table``."""
+    """An implementation of ``TablePort``; created by ``make_http_table``."""
 
     def __init__(self, caller: HttpCaller) -> None:
         self._caller = caller
--- a/lycheepost/ports/http_vms.py
+++ b/lycheepost/ports/http_vms.py
@@ -9,7 +9,7 @@
 
 
 class HttpVmList:
-    """An implementation of ``VmListPort``; made by ``make_http_vm_list``."""
+    """An implementation of ``VmListPort``; created by ``make_http_vm_list``."""
 
     def __init__(self, caller: HttpCaller) -> None:
         self._caller = caller
--- a/lycheepost/ports/http_weights.py
+++ b/lycheepost/ports/http_weights.py
@@ -12,7 +12,7 @@
 
 
 class HttpWeights:
-    """An implementation of ``WeightsPort``; made by ``make_http_weights``."""
+    """An implementation of ``WeightsPort``; created by ``make_http_weights``."""
 
     def __init__(self, caller: HttpCaller) -> None:
         self._caller = caller
--- a/lycheepost/ports/vms.py
+++ b/lycheepost/ports/vms.py
@@ -30,7 +30,7 @@
 
     Attributes:
         name: The daemon id or target id that runs there.
-        address: IP number of the VM.
+        address: IP address of the VM.
         callers_url: Where callers reach the daemon; empty for targets.
         peer_endpoint: Where peers reach the daemon; empty for targets.
     """
--- a/lycheepost/state/claim_batch.py
+++ b/lycheepost/state/claim_batch.py
@@ -106,7 +106,8 @@
         """Write one row if ``key`` is at ``version``; return its new version.
 
         A ``TableConflict`` may be caused by an earlier attempt of this write: read the
-        token back. After ``OutcomeUnknown`` the write may still take effect later.
+        row and compare its token. After ``OutcomeUnknown`` the write may still take
+        effect later.
         """
         future: asyncio.Future[Result[int, TableError]] = (
             asyncio.get_running_loop().create_future()
--- a/lycheepost/state/claim_completion.py
+++ b/lycheepost/state/claim_completion.py
@@ -34,7 +34,7 @@
 megabyte, which fits in one transaction."""
 _MAX_UNSTORED_BYTES = 8 * 1024 * 1024
 """Limit on the memory for answers held while the store is down. While it is exceeded,
-an answer whose write fails is dropped, and once the store is up again its resends
+an answer whose write fails is dropped. Once the store is up again, resends of the call
 through this daemon are answered "undetermined"."""
 _RETRY_PAUSE_SECONDS = 1.0
 _log = structlog.get_logger(part="claims")
--- a/lycheepost/state/claims.py
+++ b/lycheepost/state/claims.py
@@ -59,7 +59,7 @@
 
 _MAX_CLAIM_ATTEMPTS = 4
 _EXPECTED_DAEMONS = 7
-"""Assumed number of daemons if the caller states none: that of current deployments."""
+"""Daemons of a typical deployment, assumed if the caller states no number."""
 _log = structlog.get_logger(part="claims")
 
 OwnerIsLive = Callable[[DaemonId, str], bool]
@@ -170,7 +170,8 @@
         try:
             outcome = await self._claim_row(held)
         except asyncio.CancelledError:
-            # The caller has disconnected: if the claim is written, nobody runs it.
+            # The caller has disconnected and will not run the call, even if the claim
+            # is written.
             self._completer.fence_later(held)
             raise
         if not _is_granted(outcome) and not held.is_fencing:
--- a/lycheepost/state/duties.py
+++ b/lycheepost/state/duties.py
@@ -1,8 +1,8 @@
 """Run a duty on one daemon of the fleet, under a lease.
 
-Any daemon may hold any duty. Only a few are candidates for each (``is_candidate``),
-chosen by rendezvous hashing over the live members: if all 540 daemons polled a lease,
-that would cost more reads than the duty itself.
+Any daemon can be chosen for any duty. At any time only a few are candidates for each
+(``is_candidate``), chosen by rendezvous hashing over the live members: if all 540
+daemons polled a lease, that would cost more reads than the duty itself.
 """
 
 import asyncio
@@ -36,13 +36,13 @@
         duty: Name of the duty.
         is_candidate: Returns whether this daemon is currently a candidate.
         work: Called repeatedly while the lease is held, with a function that returns
-            the newest lease, to be called before each order to a target.
+            the newest lease. ``work`` calls it before each order to a target.
         period_seconds: Time between calls of ``work``; less than half a lease.
         clock: The clock of the leases.
         seed: Seed of the jitter.
         max_poll_seconds: Maximum time between polls of a lease that another daemon
             holds. A lease counts as expired only after its row was seen unchanged for
-            its length, so a longer interval delays every takeover.
+            the lease's length, so a longer interval delays every takeover.
         last_order_seconds: Returns when the work last sent an order; infinite if
             unknown.
         on_held: Called with the lease each time its row was written.
@@ -174,7 +174,10 @@
 
 
 def is_candidate(
-    duty: str, me: DaemonId, members: tuple[Member, ...], n_candidates: int = CANDIDATES_PER_DUTY
+    duty: str,
+    me: DaemonId,
+    members: tuple[Member, ...],
+    n_candidates: int = CANDIDATES_PER_DUTY,
 ) -> bool:
     """Return whether ``me`` is among the candidates for ``duty``."""
     live = [member.daemon for member in members if member.state is MemberState.LIVE]
--- a/lycheepost/state/feedmirror.py
+++ b/lycheepost/state/feedmirror.py
@@ -10,11 +10,11 @@
 from lycheepost.ports.feed import ChangedRow, Changes
 
 MAX_STEPS = 256
-"""Responses of the store whose changes are kept separately. A peer that is further
+"""Maximum number of responses whose changes are kept separately. A peer that is further
 behind gets the whole table; a peer requests each table about two times a second."""
 
 MAX_AGE_SECONDS = 2.4
-"""A copy that was not confirmed for longer is not forwarded. A daemon that polls the
+"""A copy that was last confirmed longer ago is not forwarded. A daemon that polls the
 store gets a confirmation every 0.8 s. A peer that polls this daemon gets it within
 another 0.6 s, for which a request is held while there is no change, and a peer one more
 hop away within 1.2 s. The remainder covers the failure of an intermediate daemon: it is
--- a/lycheepost/state/leases.py
+++ b/lycheepost/state/leases.py
@@ -370,7 +370,7 @@
     async def _read_own(
         self, duty: str, version: int, row: LeaseRow, conflict: TableConflict
     ) -> Result[int, TableError]:
-        """Determine whether this write, an earlier own one or another daemon's won."""
+        """Find which write took effect: this, an earlier own or another daemon's."""
         match await self._table.read((_key(duty),)):
             case Success((Row() as found,)) if found.version > version:
                 held = decode_lease(found).value_or(None)
--- a/lycheepost/state/revisions.py
+++ b/lycheepost/state/revisions.py
@@ -5,9 +5,9 @@
 higher revisions, from whichever source has them first: its peers, the table, a
 snapshot, or at the start its own settings. A revision is never reverted.
 
-Only few daemons poll the head: the whole fleet reads it
-``_FLEET_POLLS_PER_INTERVAL`` times per poll interval, whatever its size, and peers
-forward what one of them found. With no peers known, every daemon polls.
+In a larger fleet each daemon polls the head less often: the whole fleet reads it about
+``_FLEET_POLLS_PER_INTERVAL`` times per poll interval, and peers forward what one of
+them found. In a smaller fleet, or with no peers known, each polls once per interval.
 """
 
 import asyncio
@@ -121,7 +121,7 @@
         self._subscribers.append(on_view)
 
     def set_daemon_count(self, n_daemons: Callable[[], int]) -> None:
-        """Set the number of daemons that share the polling of the table."""
+        """Set the source of the number of daemons that share the polling."""
         self._n_daemons = n_daemons
 
     async def start(self) -> None:
@@ -261,7 +261,7 @@
     async def _read_own(
         self, delta: Delta, deadline_seconds: float
     ) -> Result[Revision, StateError]:
-        """Determine whether an earlier own attempt or another daemon's change won."""
+        """Find whether an earlier own attempt or another change was accepted."""
         before = Revision(delta.revision - 1)
         while self._clock.now_seconds() < deadline_seconds:
             match await read_deltas(self._table, before, delta.revision):
@@ -361,7 +361,7 @@
         table: Stores the accepted changes.
         objects: Stores the snapshots.
         clock: Clock of this daemon.
-        poll_seconds: Poll interval of the head, for the fleet.
+        poll_seconds: Poll interval of the head; longer in a large fleet.
         fallback: In force until another source responds. It counts as revision 0, so
             that any accepted configuration replaces it.
         n_daemons: Returns the number of live daemons; if None this one polls alone.
--- a/lycheepost/state/snapshots.py
+++ b/lycheepost/state/snapshots.py
@@ -39,7 +39,7 @@
         table: Stores the head and the deltas.
         objects: Stores the snapshots.
         revisions: The configuration of this daemon.
-        every: Revisions between snapshots.
+        every: Minimum number of revisions between snapshots.
     """
 
     def __init__(
--- a/lycheepost/state/targetlist.py
+++ b/lycheepost/state/targetlist.py
@@ -1,12 +1,10 @@
 """The targets of routed requests that this daemon may currently use.
 
-Combines four sources: registrations of targets, orders that change their weights, what
-responses report about weights and leaving, and how requests end. Targets that may not
-take new work are marked in the views for the scheduler.
+Combines registrations, orders that change weights, what responses report about weights
+and leaving, and how requests end. Views mark targets that may not take new work.
 
 A target whose registration lapses while the store is down has not left: it registers
-again within about two seconds of the store's return. A removal seen right after an
-outage therefore takes effect only after that time.
+again within two seconds of the store's return. Removals after an outage wait that long.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -41,10 +39,9 @@
 round trip through the target and the store."""
 
 WEIGHTS_CHANGE_TIMEOUT_SECONDS = 2.5
-"""A target that was ordered to change its weights is used again after this time even
-without a report of completion: the daemon that would report may have died or be
-disconnected. It is twice the duration of a change. A target that is still changing its
-weights then says so in its response."""
+"""Twice the duration of a weights change. Afterwards a target is used again without a
+report of completion: the daemon that would report may have died or be disconnected. A
+target that is still changing its weights says so in its response."""
 
 CROSS_ZONE_PENALTY_SECONDS = 0.004
 """Cost of a target in another availability zone: one round trip for the connection and
@@ -53,9 +50,8 @@
 NO_ZONE = AvailabilityZone("")
 
 REPORT_LAG_SECONDS = 0.6
-"""A target's report of weights older than the recorded ones is accepted once the record
-is this old: a report is about 0.1 s late, and response headers seldom take half a
-second."""
+"""A target's report of weights older than the recorded ones counts once the record has
+this age: reports are about 0.1 s late, and headers seldom take half a second."""
 
 _log = structlog.get_logger(part="targets")
 
@@ -233,8 +229,7 @@
     def _put(self, listed: ListedTarget) -> None:
         name = listed.target
         if self._starts.is_old(listed.start):
-            # A late registration of an earlier start: its state, weights and address
-            # belong to a process that has ended.
+            # Its state, weights and address belong to a process that has ended.
             newest_ms = self._starts.newest(name).started_ms
             _log.info(
                 "targets: registration of an earlier start",
@@ -278,10 +273,10 @@
     def note_start(self, start: TargetStart) -> None:
         """Record the start that a target itself has reported.
 
-        A target may crash and restart under the same name before its registration
-        shows it. Without this its cache would be assumed warm, its lost requests
-        assumed running, and the request that crashed it would not be found. The weights
-        are assumed unchanged until the next registration or response.
+        A target may crash and restart before its registration shows it. Without this
+        its cache would be assumed warm and its lost requests running, and the request
+        that crashed it would not be found. The weights are assumed unchanged until the
+        next registration or response.
         """
         known = self._known.get(start.target)
         if known is None or not start.is_newer_than(known.listed.start):
@@ -308,10 +303,7 @@
     def _upgrade(
         self, known: _TargetRecord, weights: Mapping[ModelId, WeightsVersion]
     ) -> None:
-        """Record those weights that are newer than the known ones.
-
-        Older ones are ignored here, as they are usually late reports.
-        """
+        """Record newer weights; ignore older ones, which are usually late reports."""
         current = known.weights or {}
         newer = {
             model: version
@@ -328,11 +320,10 @@
     ) -> None:
         """Record weights older than those that a target was recorded to hold.
 
-        A target may restart and then execute a late order for its earlier start,
-        because its counter of orders restarted too. With a wrong record, the target
-        would reject every request because of its weights and would never be updated.
-        The target's own report is therefore accepted once the record is no longer
-        recent.
+        A restarted target may execute a late order for its earlier start, because its
+        counter of orders restarted too. With a wrong record it would reject every
+        request because of its weights and never be updated. Its own report therefore
+        counts after ``REPORT_LAG_SECONDS``.
         """
         now_seconds = self._clock.now_seconds()
         current = known.weights or {}
@@ -401,10 +392,7 @@
         self.refresh()
 
     def note_changes(self, changes: Iterable[WeightsChange]) -> None:
-        """Record changes of targets' weights.
-
-        A target gets no new work while its weights are being changed.
-        """
+        """Record weights changes; during one a target gets no new work."""
         now_seconds = self._clock.now_seconds()
         for change in changes:
             self.note_start(change.start)
--- a/lycheepost/utils/tls.py
+++ b/lycheepost/utils/tls.py
@@ -32,7 +32,7 @@
 
 
 class TlsManager:
-    """The TLS context of one listener; made by ``make_tls_manager``.
+    """The TLS context of one listener; created by ``make_tls_manager``.
 
     Args:
         name: Name of the listener in logs.
