--- a/features/peers/feedshare.feature
+++ b/features/peers/feedshare.feature
@@ -41,6 +41,7 @@
     Then it returns nothing
 
   Scenario Outline: <n> daemons of a cell ask the store as often as <most> alone
+    Guards against calls to the store that grow with the number of daemons.
     When <n> daemons follow a calm store for 60 s
     Then the store is asked at most <most> times as often as by one daemon alone
 
--- a/features/peers/fleet.feature
+++ b/features/peers/fleet.feature
@@ -20,6 +20,8 @@
     And without peers it sees more
 
   Scenario: The store is down for an hour
+    Guards against daemons that stop serving, or serve an older revision, without the
+    store.
     When the store is down for an hour under 6 daemons, with a restart and leaving targets
     Then every look-up was answered, and no revision went back
     And leaving targets were avoided within 5 seconds everywhere
@@ -27,6 +29,7 @@
     And after the hour a change is in force on all of them
 
   Scenario: A daemon that leaves is out of every addresses answer within 2 seconds
+    Guards against callers that are sent to a daemon that is about to stop.
     Given a fleet of 12 daemons with the store down
     When a daemon announces that it leaves
     Then within 2 seconds no addresses answer names it
@@ -41,6 +44,7 @@
     And within 5 minutes after that all daemons know each other as live
 
   Scenario: A daemon that dies without a word is out of every addresses answer
+    Guards against callers that are sent to a dead daemon, which announces nothing.
     Given a fleet of 12 daemons with the store down
     When a daemon dies without announcing it
     Then within 20 seconds no addresses answer names it
--- a/features/peers/notice_messages.feature
+++ b/features/peers/notice_messages.feature
@@ -1,6 +1,7 @@
 Feature: What daemons tell each other of what targets say of themselves
 
   Scenario: A limit and its end come as they were told
+    Guards against a limit that counts from its arrival, or that does not end.
     Given a daemon that reports a limit of 1.3 a second from 2 s ago and of one that ended
     When a peer receives the message
     Then it has both, as reported 2 s ago on its own clock
--- a/features/peers/sockets.feature
+++ b/features/peers/sockets.feature
@@ -17,6 +17,7 @@
       | no keys                                    |
 
   Scenario: The keys of a deployment are changed one daemon at a time
+    Guards against daemons that cannot link with each other during a key rotation.
     Given a daemon with old keys that trusts the new ones
     And a daemon with new keys that trusts the old ones
     When the first commits a change
@@ -46,11 +47,13 @@
       | a damaged body   | n_damaged      |
 
   Scenario: A flood of an unknown kind is passed on to those who know it
+    Guards against an update that an older release in between does not forward.
     Given three daemons in a row, the middle one of an older release
     When the first floods a notice that the middle one does not know
     Then the last one has it, and the middle one has counted it
 
   Scenario: A peer that takes nothing costs dropped messages, not time or memory
+    Guards against a send that blocks, or a queue that grows, while a peer is down.
     Given a daemon whose peer does not exist, with a queue of 50 messages
     When it sends 500 messages to that peer
     Then at least 400 of them were dropped at once
@@ -69,6 +72,7 @@
     Then the other has the rest within 5 s
 
   Scenario: Without keys a daemon does not listen on a network
+    Guards against links that anyone on the network can open and read.
     When a daemon without keys is to listen on "10.0.0.1"
     Then it refuses to start
 
--- a/features/ports/services.feature
+++ b/features/ports/services.feature
@@ -19,6 +19,8 @@
       | HTTP           | slow       | o/1  | ObjectError   |
 
   Scenario Outline: <implementation>: an object is put, the answer is lost, and it is there
+    Guards against names that the client encodes in another way than the store, and
+    against a lost answer that is read as a write that did not happen.
     Given an object store reached by <implementation> that holds "o/1"
     When the object store loses the answer to a put of "o/é 2?"
     Then getting "o/é 2?" gives content
@@ -30,6 +32,7 @@
       | HTTP           |
 
   Scenario Outline: <implementation>: the VM list with <fault>
+    Guards against a failing VM list that appears to be empty.
     Given a VM list reached by <implementation> with 4 live VMs
     When one VM is announced as leaving and the list has the fault <fault>
     Then the list shows <live> live and <leaving> leaving VMs, or <error>
@@ -47,6 +50,7 @@
       | HTTP           | slow    | 0    | 0       | VmListError |
 
   Scenario Outline: <implementation>: the weight store with <fault>
+    Guards against a failing weight store that appears to hold no versions.
     Given a weight store reached by <implementation> with two versions of "caption"
     When the weight store has the fault <fault>
     Then its versions of "caption" are <outcome>
--- a/features/ports/table.feature
+++ b/features/ports/table.feature
@@ -63,6 +63,7 @@
     Then the service has had at most 125 calls
 
   Scenario Outline: <implementation>: a transaction takes effect whole or not at all
+    Guards against a claim or revision that is written in part.
     Given a table reached by <implementation>
     And the row "a" holds "old"
     When "a" and "b" are set under a condition that "b" exists
@@ -75,6 +76,7 @@
       | HTTP           |
 
   Scenario Outline: <implementation>: a scan of <rows> rows by pages sees each once
+    Guards against rows at the edge of a page that are skipped or returned twice.
     Given a table reached by <implementation>
     And <rows> rows under "p/" and one under "q/"
     When "p/" is scanned by pages of 3
--- a/features/state/adoption.feature
+++ b/features/state/adoption.feature
@@ -10,6 +10,8 @@
     And a confirmation counts only for the version in force
 
   Scenario: A watch that loses answers and history ends up with the newest table
+    Guards against a change that a daemon never learns, because the answer with it was
+    lost or the store no longer holds that part of its history.
     When a store with faults is followed through 40 seeded runs of changes
     Then each watch knows the newest rows at the end
     And what it reported as confirmed was true at that time
--- a/features/state/claims.feature
+++ b/features/state/claims.feature
@@ -35,6 +35,7 @@
       | the caller leaves during the claim      | B      | Granted      |
 
   Scenario Outline: The same key with <body> through <daemon> is told <told>
+    Guards against an answer to one order that is returned for a different one.
     Given daemons A and B share a store
     When A takes an order and runs it
     Then the same key with <body> through <daemon> is told <told>
@@ -46,6 +47,7 @@
       | the same     | B      | InProgress  |
 
   Scenario: Two daemons get the same order at the same time
+    Guards against an order that runs twice, because both daemons found no claim.
     Given daemons A and B share a store
     When A and B take 40 orders at the same time
     Then each order is granted to exactly one of them
@@ -59,12 +61,16 @@
     Then all of them are granted with at most 10 transactions
 
   Scenario: More claims than the table can take are refused as not run, at once
+    Guards against orders that wait for the table longer than their callers do, and
+    against a refusal of an order whose claim exists.
     Given a daemon whose share of the table is 1 write a second
     When it takes 2000 different orders at the same time
     Then some orders are refused as not run with a time to come back
     And every granted order has its claim in the table
 
   Scenario Outline: A claim of <age> hours is <fate> by the expiry pass
+    Guards against a resend that runs again because its claim was removed too early, and
+    against claims and answers that fill the store.
     Given daemons A and B share a store
     When A takes an order and answers it at length
     And <age> hours pass before the expiry pass with 24 hours to keep
--- a/features/state/leases.feature
+++ b/features/state/leases.feature
@@ -19,6 +19,7 @@
     And targets that check fencing take none
 
   Scenario Outline: <event> of a holder: another daemon takes over after <wait>
+    Guards against two holders at once, and against a duty that nobody takes over.
     Given daemon A holds the duty for 10 seconds with a margin of 2
     When <event>
     Then daemon B gets the duty after <wait>
--- a/features/state/members.feature
+++ b/features/state/members.feature
@@ -27,6 +27,8 @@
       | standby | none                                         | leaving |
 
   Scenario Outline: Callers of a fleet with <members> are sent to <addresses>
+    Guards against callers that are sent to a daemon that leaves, is unreachable or
+    overloaded, or is in another zone, while a better one is live.
     Given a daemon in zone x that knows <members>
     Then its addresses answer is <addresses>
 
@@ -51,6 +53,7 @@
     And removing one daemon changes at most one daemon of its customers and none of the others
 
   Scenario: A daemon that others take for dead says that it lives
+    Guards against a live daemon that stays excluded after its messages were lost.
     Given daemons A and B that know each other
     When B suspects A, and A is notified of it
     Then A announces again that it is live, and B marks it live
@@ -72,6 +75,7 @@
       | suspect | 0.5   | gone    |
 
   Scenario: A daemon starts again on a VM whose clock is behind
+    Guards against a new start that peers ignore because its start time looks older.
     Given daemons A and B that know each other
     When A starts again with a clock that is an hour behind, and B suspects the old A
     Then B marks the new A live
--- a/features/state/revisions.feature
+++ b/features/state/revisions.feature
@@ -37,11 +37,13 @@
       | answer lost, then down   | CommitUnknown    | once         |
 
   Scenario: Two operators change the same basis at the same time
+    Guards against a change that silently overwrites another operator's change.
     Given an accepted configuration
     When two daemons commit different changes on the same basis at the same time
     Then one change is accepted and the other operator is told the new revision
 
   Scenario: A configuration of 12,000 targets passes through the table whole
+    Guards against a change that is too large for one row and is stored in part.
     Given an accepted configuration
     When 12000 targets are added in one change
     Then a daemon that starts from the table has all 12000 targets
--- a/features/state/targetlist.feature
+++ b/features/state/targetlist.feature
@@ -2,11 +2,13 @@
   No network: registrations, orders and responses are passed in; the clock is fake.
 
   Scenario: A target that leaves is not used any more
+    Guards against requests to a target that is about to stop.
     Given registered targets a and b
     When a registers as leaving
     Then b may be used and a may not be sent to
 
   Scenario: A target that the store no longer lists is not used any more
+    Guards against requests to a target that has stopped.
     Given registered targets a and b
     When the registration of a is removed
     Then b may be used and a may not be sent to
@@ -53,6 +55,7 @@
     Then a may be used and b may not be sent to
 
   Scenario: A target is left alone while its weights are changed
+    Guards against requests to a target that cannot serve during the change.
     Given registered targets a and b
     When a is reported to change its weights for 2.5 s
     Then b may be used
@@ -67,6 +70,7 @@
     Then a and b may be used
 
   Scenario: Late registrations do not take newer weights back
+    Guards against excluding a target for old weights although it has loaded new ones.
     Given registered targets a and b
     When a responds with version 2
     And a registers with version 1
@@ -92,9 +96,9 @@
     Then nothing may be used
 
   Scenario: One target that lags behind does not outdate the others
-    Orders are lost and one engine misses a version. When the next version was named,
-    all engines with the previous one were excluded at once, because the deadline of the
-    lagging engine was applied to them; nothing was served for a second.
+    Guards against one deadline for all engines: orders are lost and one engine misses a
+    version. If its deadline applied to the engines with the previous version as well,
+    naming the next one would exclude all of them at once.
     Given registered targets a and b
     When version 2 is named and loaded by b
     And 9 s pass
@@ -105,8 +109,9 @@
     Then nothing may be used
 
   Scenario Outline: A daemon that starts is told by a peer how long old weights serve
-    Daemons are restarted in turn during a weights change. A daemon that had just
-    started refused every request after 2.5 s, while its peers served for seconds more.
+    Daemons are restarted in turn during a weights change. Without the report, a daemon
+    that has just started refuses every request after 2.5 s, while its peers serve on
+    for seconds.
     Given registered targets a and b
     When <first>
     And <second>
@@ -121,6 +126,7 @@
       | a peer reports that old weights may be served for 5 s | version 2 is found already named at startup           |
 
   Scenario: What a peer tells moves no time that is known
+    Guards against a deadline known here that a peer's late report shortens.
     Given registered targets a and b
     When version 2 is named
     And a peer reports that old weights may be served for 1 s
@@ -128,6 +134,7 @@
     Then a and b may be used
 
   Scenario: Newer weights are preferred some time after they were named
+    Guards against old weights that are served although a target with new ones is free.
     Given registered targets a and b
     When version 2 is named and loaded by b
     Then the penalty is 0 s for a and 0 s for b
@@ -157,6 +164,7 @@
     And the recorded start of a is 2000
 
   Scenario: An entry that is told twice changes nothing
+    Guards against a repeated registration that is mistaken for a restart.
     Given registered targets a and b that started at 1000
     When a responds with version 2
     And a registers with version 1 as started at 1000
@@ -172,6 +180,8 @@
     Then the recorded start of a is 2000
 
   Scenario: An earlier start stays known while a target is off the list
+    Guards against requests to the address of a process that has ended, which a late
+    registration names again.
     Given registered targets a and b that started at 1000
     When a registers with version 1 as started at 2000
     And the registration of a is removed
@@ -190,8 +200,8 @@
 
   Scenario: A target is believed when it holds older weights than it did
     An engine restarts. A late order for its earlier start is executed because its
-    counter of orders restarted too: the engine is back at version 1. Daemons assumed
-    version 2, and the engine rejected every request from then on.
+    counter of orders restarted too: the engine is back at version 1. If daemons kept
+    assuming version 2, the engine would reject every request from then on.
     Given registered targets a and b
     When a responds with version 2
     And a responds with version 1
--- a/lycheepost/utils/documents.py
+++ b/lycheepost/utils/documents.py
@@ -1,7 +1,7 @@
 """Check a document against a schema and convert it to generated records.
 
 All faults are reported together, each with its path, value and reason, so that an
-operator can correct a settings file at once.
+operator can correct a settings file in one step.
 """
 
 import functools
--- a/lycheepost/utils/logs.py
+++ b/lycheepost/utils/logs.py
@@ -3,10 +3,10 @@
 A daemon writes them to standard output through the bounded ``utils.logwriter``; a
 command whose output is read by scripts writes them to standard error.
 
-Every component binds ``part``, its name, and starts each of its events with a part's
-name. The request id is bound in a context variable, so that each line of one request
-carries it. Prompt text and keys are never passed to a log call; as a second safeguard, the values
-of the fields below are replaced before a line is written.
+Every component binds ``part`` and starts its events with that name. The request id is
+bound in a context variable, so that each line of one request carries it. Prompt text
+and keys are never passed to a log call; as a second safeguard, the values of the fields
+below are replaced before a line is written.
 """
 
 import logging
