--- a/features/peers/steps/fleet_steps.py
+++ b/features/peers/steps/fleet_steps.py
@@ -30,7 +30,7 @@
 
 
 @when("{n:d} daemons restart at the same moment, with and without peers")
-def step_herd(context, n):
+def step_restart_all(context, n):
     context.herd = measure_herd(SEED, Spreading.PEERS, n)
     context.baseline = measure_herd(SEED, Spreading.TABLE_ONLY, n)
 
--- a/features/state/steps/adoption_steps.py
+++ b/features/state/steps/adoption_steps.py
@@ -42,24 +42,24 @@
             confirmed = manager.confirmed_seconds
             confirmed_version = rng.randint(1, 20)
             manager.confirm(confirmed_version, rng.uniform(0.0, 100.0))
-            has_moved = manager.confirmed_seconds != confirmed
+            has_changed = manager.confirmed_seconds != confirmed
             found = manager.table.version
             context.steps.append(
-                (seed, before, found, highest, confirmed_version, has_moved)
+                (seed, before, found, highest, confirmed_version, has_changed)
             )
             before = found
 
 
 @then("the version in force never decreases and is the highest one received")
 def step_upward(context):
-    for seed, before, found, highest, _confirmed_version, _moved in context.steps:
+    for seed, before, found, highest, _confirmed_version, _changed in context.steps:
         assert found >= before and found == highest, seed
 
 
 @then("a confirmation counts only for the version in force")
 def step_confirmed(context):
-    for seed, _before, found, _highest, confirmed_version, has_moved in context.steps:
-        assert not has_moved or confirmed_version == found, seed
+    for seed, _before, found, _highest, confirmed_version, has_changed in context.steps:
+        assert not has_changed or confirmed_version == found, seed
 
 
 class FaultyFeed:
--- a/features/state/steps/claim_steps.py
+++ b/features/state/steps/claim_steps.py
@@ -136,11 +136,11 @@
         case "answers it while the store is down":
             context.answer = ANSWER
             faults.is_down = True
-            asyncio.get_running_loop().call_later(9.9, heal, context)
+            asyncio.get_running_loop().call_later(9.9, clear_faults, context)
         case "answers it before the store comes back":
             context.answer = LONG_ANSWER
             faults.is_down = context.objects.faults.is_down = True
-            asyncio.get_running_loop().call_later(5, heal, context)
+            asyncio.get_running_loop().call_later(5, clear_faults, context)
         case "answers it, and the answer is lost":
             context.answer = ANSWER
             faults.n_lost_answers = 1
@@ -158,7 +158,7 @@
         await manager.store_answer(granted, context.answer)
 
 
-def heal(context):
+def clear_faults(context):
     context.store.faults.is_down = context.objects.faults.is_down = False
 
 
--- a/features/state/steps/holder_steps.py
+++ b/features/state/steps/holder_steps.py
@@ -15,7 +15,7 @@
 from lycheepost.state.leases import LeaseManager
 
 LENGTH_SECONDS, MARGIN_SECONDS, REST_SECONDS = 3.6, 1.65, 3.3
-PERIOD_SECONDS, WATCH_SECONDS = 0.8, 0.7
+PERIOD_SECONDS, MAX_POLL_SECONDS = 0.8, 0.7
 ORDER_SECONDS = 0.1
 NAMES = ("A", "B", "C")
 
@@ -48,7 +48,7 @@
             PERIOD_SECONDS,
             clock,
             run.seed,
-            WATCH_SECONDS,
+            MAX_POLL_SECONDS,
             lambda: self.last_order_seconds,
             on_held=lambda lease: notify(
                 name, lambda other: other.note_renewed("weights", lease.version)
@@ -94,7 +94,7 @@
         await self.runner.stop()
 
 
-def disturb(rng, faults):
+def set_random_fault(rng, faults):
     faults.clear()
     match rng.randrange(6):
         case 0:
@@ -122,7 +122,7 @@
     return notify
 
 
-async def chaos(run, loop, seconds, reports_renewals=False):
+async def run_with_faults(run, loop, seconds, reports_renewals=False):
     rng = random.Random(run.seed)
     table = make_table_model(loop)
     machines = {}
@@ -138,7 +138,7 @@
     end_seconds = loop.now_seconds() + seconds
     while loop.now_seconds() < end_seconds:
         await asyncio.sleep(rng.uniform(0.2, 4.0))
-        disturb(rng, table.faults)
+        set_random_fault(rng, table.faults)
         name = rng.choice(NAMES)
         if rng.random() < 0.5:
             machines[name].kill()
@@ -232,7 +232,7 @@
     for seed in seeds:
         loop = VirtualTimeLoop()
         run = Run(seed)
-        loop.run_until_complete(chaos(run, loop, seconds, reports_renewals))
+        loop.run_until_complete(run_with_faults(run, loop, seconds, reports_renewals))
         loop.close()
         context.runs.append(run)
 
@@ -269,7 +269,7 @@
     assert sorted(counts)[len(counts) // 2] >= 2, counts
 
 
-async def roll(run, loop, gap_seconds, seconds):
+async def stop_in_turn(run, loop, gap_seconds, seconds):
     table = make_table_model(loop)
     machines = {name: Machine(run, name, table, loop) for name in NAMES}
     for machine in machines.values():
@@ -293,7 +293,7 @@
 def step_roll(context, gap, seconds):
     loop = VirtualTimeLoop()
     run = Run(0)
-    loop.run_until_complete(roll(run, loop, gap, seconds))
+    loop.run_until_complete(stop_in_turn(run, loop, gap, seconds))
     loop.close()
     context.runs = [run]
 
--- a/features/state/steps/machines.py
+++ b/features/state/steps/machines.py
@@ -86,15 +86,15 @@
             case "down":
                 faults.is_down = True
             case "up":
-                self.heal()
+                self.clear_faults()
 
-    def heal(self):
+    def clear_faults(self):
         self.store.faults.clear()
 
     def recover(self):
         """End all faults, including ones about to begin, and wait for retries."""
         self.run(asyncio.sleep(0.1))
-        self.heal()
+        self.clear_faults()
         self.run(asyncio.sleep(30))
 
     @rule(seconds=st.sampled_from([0.1, 2.0, 8.0]))
@@ -165,9 +165,9 @@
 
         for number, outcome in self.run(send_all()):
             if isinstance(outcome, Success):
-                self.judge(number, key, body, outcome.unwrap(), then)
+                self.check_outcome(number, key, body, outcome.unwrap(), then)
 
-    def judge(self, number, key, body, outcome, then):
+    def check_outcome(self, number, key, body, outcome, then):
         match outcome:
             case Granted() as granted:
                 assert key not in self.ran, "a second run"
@@ -223,7 +223,7 @@
             assert isinstance(outcome, Success), "a healthy store decides"
             if key not in self.ran and not self.in_doubt:
                 assert isinstance(outcome.unwrap(), Granted), "lost, and never ran"
-            self.judge(number, key, body, outcome.unwrap(), "answer")
+            self.check_outcome(number, key, body, outcome.unwrap(), "answer")
 
 
 class LeaseMachine(StoreMachine):
--- a/features/state/steps/revision_steps.py
+++ b/features/state/steps/revision_steps.py
@@ -2,7 +2,7 @@
 from dataclasses import replace
 
 from behave import given, then, when
-from claim_steps import heal, use_virtual_time
+from claim_steps import clear_faults, use_virtual_time
 from returns.result import Success
 
 from lycheepost.bench.fleet import make_configuration
@@ -88,7 +88,7 @@
 
 @then("once all sources answer it serves revision 6 and has never gone back")
 def step_upward(context):
-    heal(context)
+    clear_faults(context)
     context.fresh.adopt(replace(context.manager.accepted, revision=3), "peer late")
     run(context, asyncio.sleep(5))
     assert context.fresh.revision == 6
@@ -123,7 +123,7 @@
 
 @then("after a minute the change is in force {times}")
 def step_in_force(context, times):
-    heal(context)
+    clear_faults(context)
     run(context, asyncio.sleep(60))
     assert count_in_force(context, "wanted") == (1 if times == "once" else 0)
 
