--- a/features/peers/steps/notice_messages_steps.py
+++ b/features/peers/steps/notice_messages_steps.py
@@ -19,7 +19,7 @@
     "a daemon that reports a limit of {per_second:g} a second from {age_seconds:g} s"
     " ago and of one that ended"
 )
-def step_tells(context, per_second, age_seconds):
+def step_reports(context, per_second, age_seconds):
     reported_seconds = SENDER_SECONDS - age_seconds
     limits = {
         LIMITED: ReportedLimit(per_second, reported_seconds),
@@ -36,26 +36,26 @@
 
 
 @when("a peer receives the message")
-def step_takes(context):
-    context.taken = limits_of(context.message, RECEIVER_SECONDS)
+def step_receives(context):
+    context.received = limits_of(context.message, RECEIVER_SECONDS)
 
 
 @then("it has both, as reported {age_seconds:g} s ago on its own clock")
 def step_both(context, age_seconds):
     reported_seconds = RECEIVER_SECONDS - age_seconds
-    assert context.taken == [
+    assert context.received == [
         (LIMITED, ReportedLimit(context.per_second, reported_seconds, is_own=False)),
         (ENDED, ReportedLimit(None, reported_seconds, is_own=False)),
-    ], context.taken
+    ], context.received
 
 
 @then("it has none of them")
 def step_none(context):
-    assert not context.taken, context.taken
+    assert not context.received, context.received
 
 
 @given("a daemon that reports a leaving target with its start, and another without")
-def step_tells_leaving(context):
+def step_reports_leaving(context):
     context.starts = [TargetStart(LIMITED, 1_700_000_000_000), TargetStart(ENDED)]
     context.message = to_message({}, context.starts, SENDER_SECONDS)
 
--- a/lycheepost/peers/shared.py
+++ b/lycheepost/peers/shared.py
@@ -60,7 +60,7 @@
             await duty.start()
 
     async def drain(self) -> None:
-        """Leave the address responses, store answers and release duties."""
+        """Announce leaving, release duties and wait until answers are stored."""
         await self.members.drain()
         for duty in self.duties:
             await duty.drain()
