--- a/features/capacity/rollout.feature
+++ b/features/capacity/rollout.feature
@@ -58,6 +58,9 @@
       | ignore  | harmless |
 
   Scenario Outline: A fault on the way
+    Guards against a rollout that stops, loads too many targets at once or leaves callers
+    without a target after one fault.
+
     Given 5 serving and 0 standby targets, 2 concurrent loads, min_serving 3
     When an operator confirms new weights "w2"
     And meanwhile <fault>
@@ -119,6 +122,8 @@
     And no invariant was violated and callers always had a target
 
   Scenario: Paused midway, then resumed
+    Guards against a pause that interrupts a load or withdraws a version still in use.
+
     Given 5 serving and 0 standby targets, 1 concurrent loads, min_serving 3
     When an operator confirms new weights "w2"
     And the operator pauses once a target is loading
@@ -129,6 +134,9 @@
     And every target holds "w2" and requests use only that version
 
   Scenario Outline: Cancelled midway, then taken back or on
+    Guards against a cancelled rollout that leaves targets out of service, or blocks the
+    next rollout to either version.
+
     Given 5 serving and 0 standby targets, 1 concurrent loads, min_serving 3
     When an operator confirms new weights "w2"
     And the operator cancels once a target is <state>
@@ -146,6 +154,8 @@
       | loading  | 1 | w2   |
 
   Scenario: A target that an operator retires in the midst of its load stays retired
+    Guards against a step that makes a retired target serve again after its load.
+
     Given 5 serving and 0 standby targets, 1 concurrent loads, min_serving 2
     When an operator confirms new weights "w2"
     And the operator retires the target once it is loading
@@ -154,6 +164,9 @@
     And no invariant was violated and callers always had a target
 
   Scenario: An engine crashes later and comes back with the weights it boots with
+    The engine refuses every request for the new weights until it is loaded again.
+    Guards against a crashed target that stays without use.
+
     Given 4 serving and 0 standby targets, 2 concurrent loads, min_serving 2
     When an operator confirms new weights "w2"
     Then the intent ends as done
@@ -162,6 +175,9 @@
     And no invariant was violated and callers always had a target
 
   Scenario: A fleet is held ready for a time window
+    Guards against too few ready targets during the window, also after one is lost, and
+    against targets that are not released after it.
+
     Given 2 serving and 3 standby targets, 2 concurrent loads, min_serving 2
     When an operator holds 4 ready from 100 s on until 200 s
     Then 2 targets are ready at 60 s
@@ -172,6 +188,8 @@
     And no invariant was violated and callers always had a target
 
   Scenario: Targets are retired at a time, and cut nothing
+    Guards against retired targets whose running requests are aborted.
+
     Given 5 serving and 0 standby targets, 2 concurrent loads, min_serving 3
     When an operator retires e0 and e1 from 50 s on
     Then 5 targets are ready at 45 s
@@ -180,6 +198,8 @@
     And no invariant was violated and callers always had a target
 
   Scenario: Seeded random runs break no promise
+    Guards against sequences of faults that no scenario above describes.
+
     When 16 seeded random runs are made
     Then none violated an invariant
 
--- a/features/capacity/steps/capacity_steps.py
+++ b/features/capacity/steps/capacity_steps.py
@@ -59,19 +59,20 @@
 
 
 @given(
-    "{n:d} serving and {m:d} standby targets, {k:d} concurrent loads, min_serving {f:d}"
+    "{serving:d} serving and {standby:d} standby targets, {loads:d} concurrent loads,"
+    " min_serving {min_serving:d}"
 )
-def given_fleet(context, n, m, k, f):
-    given_fleet_fencing(context, n, m, k, f, "check")
+def given_fleet(context, serving, standby, loads, min_serving):
+    given_fleet_fencing(context, serving, standby, loads, min_serving, "check")
 
 
 @given(
-    "{n:d} serving and {m:d} standby targets, {k:d} concurrent loads,"
-    " min_serving {f:d}, which {fencing} fencing"
+    "{serving:d} serving and {standby:d} standby targets, {loads:d} concurrent loads,"
+    " min_serving {min_serving:d}, which {fencing} fencing"
 )
-def given_fleet_fencing(context, n, m, k, f, fencing):
+def given_fleet_fencing(context, serving, standby, loads, min_serving, fencing):
     async def make():
-        world = ScriptedWorld(n, m, k, f, fencing == "check")
+        world = ScriptedWorld(serving, standby, loads, min_serving, fencing == "check")
         await world.open()
         await world.wait(3)
         return world
@@ -140,7 +141,7 @@
 
 
 def is_lost(context, target):
-    """Return whether an order to the first target is lost before the late one."""
+    """Return whether an order to the first target is lost: while the late one waits."""
     return context.answers == [None] and target.target == context.first_target
 
 
--- a/features/capacity/steps/scripted.py
+++ b/features/capacity/steps/scripted.py
@@ -40,11 +40,11 @@
 class ScriptedWorld(CapacityWorld):
     """The simulated fleet of the random runs, without random faults."""
 
-    def __init__(self, serving, standby, loads, floor, checks):
+    def __init__(self, serving, standby, loads, min_serving, checks):
         super().__init__(seed=0 if checks else 1)
         self.n_targets = serving + standby
         self.n_standby = standby
-        self.load_limit, self.min_serving = loads, floor
+        self.load_limit, self.min_serving = loads, min_serving
         self.chance = NoFaults()
         self.is_disturbed = False
         self.unserved = []
--- a/features/load/audit.feature
+++ b/features/load/audit.feature
@@ -31,6 +31,8 @@
       | answer a resend anew  | resend_differs   |
 
   Scenario Outline: A system that serves or refuses honestly passes
+    Guards against false findings of the audit.
+
     Given a system that spoils one answer in five by "<spoil>"
     When <deployment> traffic runs against it
     Then the audit finds nothing
@@ -45,6 +47,8 @@
       | prairie    | refuse as not run     |
 
   Scenario: A truncated answer that says so is counted and is no violation
+    Guards against truncated answers that the report leaves out.
+
     Given a system that spoils one answer in five by "break the connection"
     When prairie traffic runs against it
     Then some answers are counted as truncated
@@ -59,5 +63,7 @@
     And no request is left unreached
 
   Scenario: The same seed gives the same requests
+    Guards against runs that cannot be repeated with their seed.
+
     When the first 200 requests of "mercia" are generated twice with seed 7
     Then both lists are equal and the prefixes nest in three shared levels
--- a/features/operators/commands.feature
+++ b/features/operators/commands.feature
@@ -5,6 +5,8 @@
     And a shell with ada's key
 
   Scenario Outline: Exit codes tell a script what happened
+    Guards against scripts that take a refused or unanswered call for a success.
+
     When the command "<command>" is run
     Then it exits with <code>
     And it prints "<text>"
--- a/features/operators/plans.feature
+++ b/features/operators/plans.feature
@@ -68,12 +68,16 @@
     And the key shown works for "beta" at every daemon
 
   Scenario: Both daemons get the same confirm at once
+    Guards against a plan that is applied twice when two daemons commit it together.
+
     When ada plans '{"kind": "create_customer", "customer": "beta"}' at daemon 1
     And ada confirms at both daemons at once
     Then both answers are 200 and the same
     And one revision was made
 
   Scenario Outline: A key is shown to the call that applied the plan only
+    Guards against a caller key that another operator or another call can read.
+
     When ada plans '<intent>' at daemon 1
     And ada confirms at daemon 1
     And <operator> confirms again with token "<token>"
@@ -95,6 +99,8 @@
     Then its cache salt differs from that of the first
 
   Scenario: A plan that waited too long
+    Guards against a late confirm of a plan whose operator decided on old facts.
+
     When ada plans '{"kind": "create_customer", "customer": "beta"}' at daemon 1
     And 901 seconds pass
     And ada confirms at daemon 2
@@ -102,6 +108,9 @@
     And the configuration has no customer "beta"
 
   Scenario Outline: The store is down
+    Guards against a change that is applied or lost without the operator's knowledge:
+    the error must say that a retry is needed.
+
     When the store is down while ada <does>
     Then the answer is 503
     And the answer says when to retry
@@ -113,6 +122,8 @@
       | confirms |
 
   Scenario Outline: An intent with faults names them all
+    Guards against faults that show only one by one, after each correction.
+
     When ada sends the intent '<intent>'
     Then the answer is <status>
     And the faults are at "<paths>"
@@ -131,6 +142,9 @@
       | {"kind": "set_customer_quota", "customer": "nobody", "unit": "tokens", "rate_per_second": 5, "burst": 0.5} | 422 | customer quota |
 
   Scenario Outline: A plan that would hurt callers cannot be confirmed
+    Guards against a confirm after which too few targets serve, or after which requests
+    ask for weights that too few targets hold.
+
     When ada plans '<intent>' at daemon 1
     Then the plan is blocked at "<subject>"
     When ada confirms at daemon 1
@@ -142,6 +156,8 @@
       | {"kind": "set_weights_version", "model": "reader", "weights_version": "w2"} | models/reader |
 
   Scenario Outline: Only operators come in
+    Guards against access to the operators' API without a key or with a caller's key.
+
     When a call is made with <key>
     Then the answer is <status>
 
@@ -153,6 +169,9 @@
       | an operator key     | 200    |
 
   Scenario Outline: A capacity plan says how long it takes and what stands against it
+    Guards against plans that hide a conflict or state a wrong duration, also while the
+    weight store is down.
+
     When the weight store is <store>
     And ada plans '<intent>' at daemon 1
     Then the plan takes <seconds> s
@@ -182,6 +201,9 @@
     And the answer names "cancel it first"
 
   Scenario: A running intent is paused while it moves
+    Guards against a rollout that cannot be paused because its own progress creates
+    revisions.
+
     When ada plans '{"kind": "new_weights", "model": "reader", "weights_version": "w2"}' at daemon 1
     And ada confirms at daemon 1
     And ben plans a pause of it, and its progress is recorded before he confirms
--- a/features/operators/tls.feature
+++ b/features/operators/tls.feature
@@ -23,10 +23,14 @@
       | no file at all                | number  | A    |
 
   Scenario: A broken pair is mended
+    Guards against a listener that ignores a valid pair after it has refused one.
+
     When certificate B with A's key is written
     And certificate B with its key is written
     Then a new connection by number sees certificate B
 
   Scenario: A daemon does not start with a broken pair
+    Guards against a daemon that starts but cannot accept any TLS connection.
+
     When certificate B with A's key is written
     Then no listener can be made of it
--- a/features/report/beliefs.feature
+++ b/features/report/beliefs.feature
@@ -3,6 +3,7 @@
   Scenario Outline: Daemons that differ in <what> are told apart
     Guards against a fault of one daemon that the comparison does not show: callers of
     one daemon are rejected while callers of another are served.
+
     Given status pages of three daemons
     When the third believes <other>
     Then they differ in <what>, and only the third differs from the others
@@ -20,11 +21,15 @@
     Then they do not differ
 
   Scenario: Two holders of one duty are told
+    Guards against two daemons that both give orders while the comparison shows nothing.
+
     Given status pages of three daemons
     When the third believes that it holds a duty of the first
     Then the duty is listed with both holders
 
   Scenario Outline: A page that <what> is a typed failure
+    Guards against a crash of the comparison on one unreadable page.
+
     Given a status page that <what>
     When it is read
     Then it is a failure that names the status page
--- a/features/report/burn.feature
+++ b/features/report/burn.feature
@@ -38,12 +38,17 @@
       | an order that ran twice | exactly_once   | 40     |
 
   Scenario: Callers' own faults and callers that left burn nothing
+    Guards against alarms for requests that failed because of their callers.
+
     Given 200 samples of which 40 are "the caller's fault"
     And 200 samples of which 40 are "a caller that left"
     When the burn is assessed
     Then no level has a bad event
 
   Scenario: Silence is not shown as good
+    Guards against a full error budget shown for a customer whose requests never get a
+    first token.
+
     Given no samples for customer "quiet" but refusals of calls
     When the burn is assessed
     Then "first_token" shows neither a burn rate nor a budget
--- a/features/report/explain.feature
+++ b/features/report/explain.feature
@@ -3,6 +3,7 @@
   Scenario Outline: <case>
     Guards against a wrong or missing cause when only the logs of some daemons are
     left, with the prefix that a log collector puts in front of each line.
+
     Given logs of two daemons in which request r1 <case>
     When request r1 is explained
     Then the cause says "<words>"
@@ -18,6 +19,8 @@
       | left before its answer                | Its caller left                    |
 
   Scenario: A request that no line names
+    Guards against a made-up cause for a request that is in none of the logs.
+
     Given logs of two daemons in which request r1 was served
     When request r2 is explained
     Then the cause says "No line names it"
--- a/features/report/gather.feature
+++ b/features/report/gather.feature
@@ -1,4 +1,5 @@
 Feature: Gathering the report from daemons
+
   Scenario Outline: What cannot be seen is shown as missing
     Guards against an incomplete report that looks complete: a daemon that does not
     answer may be the one with the fault, so the report must list it as missing at
@@ -25,6 +26,8 @@
     And the page shows three plots and no markup from a customer's name
 
   Scenario: No key, no counts
+    Guards against counts and customers' names shown to callers.
+
     Given two daemons with counts, the second one well
     When the report is gathered with a caller's key
     Then there is no report
--- a/features/report/history.feature
+++ b/features/report/history.feature
@@ -13,6 +13,8 @@
     Then the history and the daemon together show from 2700 to 3120 requests
 
   Scenario: A graceful stop loses nothing
+    Guards against a lost open slot when a daemon is stopped.
+
     Given a daemon that counts one request a second
     When 42 minutes pass
     And it is stopped gracefully and replaced
@@ -36,12 +38,16 @@
       | 50   | 130 | 200     | 12000    | 11700   |
 
   Scenario: Hours that were summed up count once
+    Guards against requests counted both in five-minute slots and in their hourly sum.
+
     Given a daemon that counts one request a second
     When 720 minutes pass
     Then the history and the daemon together show exactly 43200 requests
     And the oldest hours are read from one object each
 
   Scenario Outline: Damaged objects are named as unread
+    Guards against a history that looks complete although an object cannot be read.
+
     Given a daemon that counts one request a second
     When 12 minutes pass
     And one object is replaced by <damage>
--- a/features/standin/engine.feature
+++ b/features/standin/engine.feature
@@ -21,6 +21,8 @@
       | 50    | a:1/100    | a:1/100    | 0      |
 
   Scenario Outline: A stream can be cancelled, resumed and lost
+    Guards against runs that continue without a reader or end while one can resume.
+
     Given an engine with a cache of 1000 tokens
     When a stream of 100 tokens is started and <event>
     Then its run is "<state>"
@@ -38,6 +40,8 @@
     Then they start in the order 0, 1, 2
 
   Scenario: Kept KV moves to another engine of the same weights
+    Guards against imported blocks that were computed with other weights.
+
     Given an engine with a cache of 1000 tokens
     And another engine with a cache of 1000 tokens
     When the prefix "a:1/100" computed on the first is exported and imported
