--- a/lycheepost/commands/bench.py
+++ b/lycheepost/commands/bench.py
@@ -1,4 +1,4 @@
-"""``lycheepost bench``: measure policies and costs beside a baseline."""
+"""``lycheepost bench``: measure policies and costs, with baselines in the same run."""
 
 import json
 import pathlib
--- a/lycheepost/commands/benchcapacity.py
+++ b/lycheepost/commands/benchcapacity.py
@@ -38,7 +38,7 @@
     ] = [750, 3000, 12000],  # noqa: B006
     as_json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ) -> None:
-    """Measure the cost of one poll of the capacity duty, by fleet size.
+    """Measure the cost of one tick of the capacity duty, by fleet size.
 
     Exit code 0 after the measurement.
     """
@@ -48,7 +48,7 @@
         return
     for record in records:
         typer.echo(
-            f"{record.n_targets} targets: {record.quiet_ms} ms per poll,"
+            f"{record.n_targets} targets: {record.quiet_ms} ms per tick,"
             f" {record.rollout_ms} ms during a rollout,"
             f" {record.core_share:.2%} of a core"
         )
--- a/lycheepost/operators/basis.py
+++ b/lycheepost/operators/basis.py
@@ -34,15 +34,15 @@
     plan: Plan, configuration: Configuration, allow_unrelated: bool
 ) -> list[Fault]:
     """Return all changes since the plan's basis that prevent its confirm."""
-    moved = _find_changed_items(plan, configuration)
+    item_changes = _find_changed_items(plan, configuration)
     if allow_unrelated:
-        return moved
+        return item_changes
     later = [
         entry
         for entry in configuration.applied_plans
         if entry.revision > plan.basis_revision
     ]
-    faults = moved + [_describe_plan(entry) for entry in later]
+    faults = item_changes + [_describe_plan(entry) for entry in later]
     if not has_history_since(configuration, plan.basis_revision):
         reason = "more plans were confirmed since than are remembered"
         faults.append(Fault("revision", str(configuration.revision), reason))
--- a/lycheepost/operators/capacity_observer.py
+++ b/lycheepost/operators/capacity_observer.py
@@ -67,7 +67,7 @@
         self._clock: Clock = deps.clock
         self._wrong_since_seconds: dict[TargetId, float] = {}
         self._loading: dict[TargetId, EngineHealth] = {}
-        self._silent: set[TargetId] = set()
+        self._unresponsive: set[TargetId] = set()
         self._not_yet_read: set[TargetId] = set()
         self._cursor = 0
         self._listing = VmListing({}, set())
@@ -82,7 +82,7 @@
         }
         self._wrong_since_seconds.clear()
         self._loading.clear()
-        self._silent.clear()
+        self._unresponsive.clear()
 
     @property
     def has_read_back(self) -> bool:
@@ -118,11 +118,11 @@
             configuration, set(ACTIVE_STEPS)
         ) | _possibly_loading(configuration)
         first = dict.fromkeys([*stepping, *self._loading, *self._wrong_since_seconds])
-        # The limit applies only to the other targets: if targets with active steps used
-        # it up, a new holder would never finish reading the rest. Half of it is
-        # reserved for reading all targets in turn; otherwise a target that restarted
-        # after a crash with other weights would count as serving for as long as steps
-        # wait.
+        # The limit does not apply to targets in ``first``: if they used it up, a new
+        # holder would never finish reading the rest. Once that is done, half of the
+        # limit is reserved for reading all targets in turn. Otherwise a target that
+        # restarted after a crash with other weights would count as serving for as long
+        # as steps wait.
         next_reads = [*sorted(self._not_yet_read), *_next_waiting(configuration)]
         next_reads = next_reads[: limit if self._not_yet_read else limit // 2]
         asked = dict.fromkeys([*first, *next_reads])
@@ -164,11 +164,11 @@
         now_seconds = self._clock.now_seconds()
         for name, answer in answered.items():
             if answer.health is None:
-                self._silent.add(name)
+                self._unresponsive.add(name)
                 # A target that stopped responding after it was seen loading, or with
                 # other weights, may still be in that state.
                 continue
-            self._silent.discard(name)
+            self._unresponsive.discard(name)
             if answer.health.state is EngineHealthState.LOADING:
                 self._loading[name] = answer.health
             else:
@@ -181,7 +181,7 @@
         for remembered in (self._loading, self._wrong_since_seconds):
             for name in [name for name in remembered if name not in view.targets]:
                 del remembered[name]
-        self._silent &= set(view.targets)
+        self._unresponsive &= set(view.targets)
 
     def _merge(
         self, view: ConfigurationView, answered: dict[TargetId, Observed]
@@ -210,9 +210,9 @@
         state: TargetState | None,
         now_seconds: float,
     ) -> Observed:
-        # A target that last did not respond or had wrong weights is not ready until it
-        # is seen in order, whatever others report.
-        is_unreliable = name in self._wrong_since_seconds or name in self._silent
+        # A target whose last read failed or showed wrong weights is not ready until a
+        # read shows the right ones, whatever other daemons report.
+        is_unreliable = name in self._wrong_since_seconds or name in self._unresponsive
         wrong_since = self._wrong_since_seconds.get(name, now_seconds)
         return Observed(
             is_serving=state is TargetState.SERVING and not is_unreliable,
--- a/lycheepost/operators/capacity_runner.py
+++ b/lycheepost/operators/capacity_runner.py
@@ -36,7 +36,7 @@
 
 DUTY = "capacity"
 _RETRY_JITTER_SECONDS = 1.0
-"""Random delay that keeps attempts of several daemons at the lease apart."""
+"""Maximum random delay, so that daemons do not all try for the lease at once."""
 _SETTLED_STATES = (EngineHealthState.SERVING, EngineHealthState.STANDBY)
 _log = structlog.get_logger(part="capacity")
 
@@ -77,7 +77,7 @@
         self._task = start_task(self._run(), "capacity")
 
     async def drain(self) -> None:
-        """Stop the ticks and release the lease for another daemon."""
+        """Stop the ticks; release the lease, so that another daemon need not wait."""
         await self._end_task()
         if self._lease is not None:
             await self._deps.leases.release(self._lease)
--- a/lycheepost/operators/capacity_steps.py
+++ b/lycheepost/operators/capacity_steps.py
@@ -105,13 +105,13 @@
     state: CapacityStepState,
     **fields: object,
 ) -> None:
-    moved = dataclasses.replace(
+    changed_step = dataclasses.replace(
         step,
         state=state,
         since_wall_seconds=context.now_wall_seconds,
         **{"note": "", **fields},  # type: ignore[arg-type]
     )
-    context.put_steps(intent.intent, [moved])
+    context.put_steps(intent.intent, [changed_step])
 
 
 def _retire(context: GroupContext, target: Target) -> None:
--- a/lycheepost/operators/capacity_warm.py
+++ b/lycheepost/operators/capacity_warm.py
@@ -24,9 +24,9 @@
 from lycheepost.targets.control import ControlClient
 
 MAX_WARMED_PREFIXES = 32
-"""A larger number would take longer than the target's first increase of its share."""
+"""Importing more would not end before the target's share is first increased."""
 _MAX_DONORS_ASKED = 3
-"""The owners of a prefix come first in its rendezvous order."""
+"""Only the first targets in a prefix's rendezvous order are asked: they own it."""
 _WARM_TIMEOUT_SECONDS = 10.0
 
 
--- a/lycheepost/operators/client.py
+++ b/lycheepost/operators/client.py
@@ -18,6 +18,7 @@
 _TIMEOUT_SECONDS = 30.0
 _MAX_CONFIRM_ATTEMPTS = 3
 _RETRY_SECONDS = 0.5
+"""Pause before the second attempt; each further pause is longer by this time."""
 _MAX_CONCURRENT_CALLS = 32
 
 
--- a/lycheepost/operators/confirming.py
+++ b/lycheepost/operators/confirming.py
@@ -194,14 +194,14 @@
 def _check_basis(
     plan: Plan, configuration: Configuration, allow_unrelated: bool
 ) -> OperatorError | None:
-    moved = find_basis_changes(plan, configuration, allow_unrelated)
-    if not moved:
+    basis_changes = find_basis_changes(plan, configuration, allow_unrelated)
+    if not basis_changes:
         return None
     return OperatorError(
         f"The configuration moved from revision {plan.basis_revision} to"
         f" {configuration.revision}; plan again.",
         OperatorErrorKind.BASIS_MOVED,
-        tuple(moved),
+        tuple(basis_changes),
     )
 
 
--- a/lycheepost/operators/planning.py
+++ b/lycheepost/operators/planning.py
@@ -76,7 +76,7 @@
     so that a confirm does what the plan states.
 
     Attributes:
-        plan_id: Prefix source for the names of new capacity intents.
+        plan_id: Its last part begins the names of new capacity intents.
         weights: What the weight store reported when the plan was made.
         hash_for: Returns the hash of a caller key that the daemon generates.
     """
--- a/lycheepost/operators/routes.py
+++ b/lycheepost/operators/routes.py
@@ -170,7 +170,7 @@
 
 
 async def _read_document(request: web.Request) -> Result[Any, OperatorError]:
-    # The stated length cannot be trusted, so the received bytes are counted.
+    # ``Content-Length`` may be missing or wrong, so the received bytes are counted.
     body = bytearray()
     async for chunk in request.content.iter_any():
         body += chunk
--- a/lycheepost/operators/weightsrollout.py
+++ b/lycheepost/operators/weightsrollout.py
@@ -45,10 +45,10 @@
 from lycheepost.utils.tasks import start_task
 
 TICK_SECONDS = 0.1
-"""Interval between checks for due changes; a check without any costs one comparison."""
+"""Interval between checks for due changes; one that finds none costs a comparison."""
 
 DRAIN_POLL_SECONDS = 0.03
-"""Interval between checks of what a target that gets no new work still runs: as often
+"""Interval between reads of how many requests a draining target still runs: as often
 as daemons exchange their load."""
 
 LOAD_POLL_SECONDS = 0.06
@@ -70,9 +70,9 @@
 """An accepted order shows in the target's reports within this time."""
 
 RESTART_POLL_DELAYS_SECONDS = (1.0, 2.0, 3.0, 6.0)
-"""Delays between polls of a restarted target. An order to its previous start may be
+"""Delays between polls of a restarted target. An order from before the restart may be
 executed up to twelve seconds late and load older weights; if no request goes to the
-target, nothing else would reveal this."""
+target, only these polls reveal it."""
 
 RETRY_DELAY_SECONDS = 0.4
 """Delay before a target that did not accept an order is ordered again."""
--- a/lycheepost/operators/weightsupdates.py
+++ b/lycheepost/operators/weightsupdates.py
@@ -15,8 +15,8 @@
 from lycheepost.state.targetlist import TargetList, WeightsChange
 
 BATCH_SECONDS = 0.02
-"""How long a change waits to be batched with others: a sixth of the time for which
-targets get no new work before their orders."""
+"""How long a change waits to be batched with others: a fifth of ``MIN_DRAIN_SECONDS``,
+the shortest time for which targets get no new work before their orders."""
 
 
 class WeightsUpdates:
--- a/lycheepost/report/gather.py
+++ b/lycheepost/report/gather.py
@@ -111,8 +111,10 @@
         return _FetchResult(address, None, "answered something else")
 
 
-async def _get(session: aiohttp.ClientSession, url: str, seconds: float) -> bytes:
-    timeout = aiohttp.ClientTimeout(total=seconds)
+async def _get(
+    session: aiohttp.ClientSession, url: str, timeout_seconds: float
+) -> bytes:
+    timeout = aiohttp.ClientTimeout(total=timeout_seconds)
     async with session.get(url, timeout=timeout) as response:
         response.raise_for_status()
         return await response.read()
--- a/lycheepost/report/history.py
+++ b/lycheepost/report/history.py
@@ -29,7 +29,7 @@
 SAVE_INTERVAL_SECONDS = 20.0
 """Interval between checks for closed slots; writing one 20 s late is soon enough."""
 _FINE_GRAINED_HOURS = 7
-"""Hours read slot by slot: the longest short window and the current hour."""
+"""Hours read slot by slot: the longest short window, six hours, and the current one."""
 _RETENTION_HOURS = 73
 """Three days, the longest window of the report, and the current hour."""
 _MAX_CONCURRENT_READS = 16
--- a/lycheepost/report/page.py
+++ b/lycheepost/report/page.py
@@ -42,7 +42,7 @@
 _MAX_PLOTTED_PAIRS = 20
 """Pairs of customer and model in the plots, most urgent first; the table has all."""
 _WIDTH_INCHES = 9.0
-_TICK_SECONDS = (0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
+_AXIS_TICKS_SECONDS = (0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
 _TITLES = {
     ServiceLevel.FIRST_TOKEN: "First token",
     ServiceLevel.BETWEEN_TOKENS: "Between tokens",
@@ -238,7 +238,9 @@
     axes.axvline(objective.ttft_objective_seconds, color="#222", linestyle="--")
     axes.axhline(100 * objective.objective_share, color="#222", linestyle=":")
     axes.set_xscale("log")
-    axes.set_xticks(_TICK_SECONDS, [f"{bound:g}" for bound in _TICK_SECONDS])
+    axes.set_xticks(
+        _AXIS_TICKS_SECONDS, [f"{bound:g}" for bound in _AXIS_TICKS_SECONDS]
+    )
     axes.minorticks_off()
     axes.set_ylim(0, 102)
     axes.set_xlabel("seconds (dashed: objective)")
--- a/lycheepost/report/samples.py
+++ b/lycheepost/report/samples.py
@@ -39,7 +39,7 @@
 """
 
 _MAX_ROWS = 16_384
-"""Twice the rows of 990 customers and 8 models. Further pairs of a slot are counted
+"""About twice the rows of 990 customers and 8 models. Further pairs of a slot count
 under ``OVERFLOW_NAME``, so that made-up names cannot exhaust the memory."""
 
 _MAX_CLOSED_BYTES = 2_000_000
