--- a/lycheepost/loadgen/audit.py
+++ b/lycheepost/loadgen/audit.py
@@ -29,7 +29,7 @@
 
 MAX_SHOWN_VIOLATIONS = 20
 
-_ERROR_STATUS = 400
+_MIN_ERROR_STATUS = 400
 
 
 @dataclass(frozen=True, slots=True)
@@ -255,7 +255,7 @@
         detail = f"{len(bodies)} different answers"
         yield Violation(Fault.RESEND_DIFFERS, number, request_id, detail)
     for status, body in bodies:
-        if status < _ERROR_STATUS and record.request.order.encode() not in body:
+        if status < _MIN_ERROR_STATUS and record.request.order.encode() not in body:
             detail = "the answer names another order"
             yield Violation(Fault.CROSSED, number, request_id, detail)
     if evidence.order_runs is not None:
@@ -283,7 +283,7 @@
 def _is_acknowledged(record: CallRecord) -> bool:
     return any(
         isinstance(attempt.outcome, ServiceAnswered)
-        and attempt.outcome.status < _ERROR_STATUS
+        and attempt.outcome.status < _MIN_ERROR_STATUS
         for attempt in record.attempts
     )
 
--- a/lycheepost/loadgen/drive.py
+++ b/lycheepost/loadgen/drive.py
@@ -2,8 +2,8 @@
 
 Each request is a task that starts at its arrival time, independent of the others. A
 run is limited in time, in the number of requests and in the number in flight. An
-arrival above the last limit is counted as not sent, so that the number of tasks
-stays bounded if the system does not answer.
+arrival while too many are in flight is counted as not sent, so that the number of
+tasks stays bounded if the system does not answer.
 """
 
 import asyncio
@@ -202,7 +202,7 @@
     loop = asyncio.get_running_loop()
     while True:
         await asyncio.sleep(_PROGRESS_INTERVAL_SECONDS)
-        kinds = Counter(
+        n_by_refused = Counter(
             isinstance(record, CompletionRecord) and isinstance(record.outcome, Refused)
             for record in run.records
         )
@@ -212,6 +212,6 @@
                 n_sent=run.n_sent,
                 n_ended=len(run.records),
                 n_in_flight=len(run.tasks),
-                n_refused=kinds[True],
+                n_refused=n_by_refused[True],
             )
         )
--- a/lycheepost/loadgen/report.py
+++ b/lycheepost/loadgen/report.py
@@ -20,8 +20,8 @@
 )
 from lycheepost.loadgen.requests import Completion
 
-_MICROSECONDS = 1_000_000
-_MAX_MICROSECONDS = 600 * _MICROSECONDS
+_MICROSECONDS_PER_SECOND = 1_000_000
+_MAX_MICROSECONDS = 600 * _MICROSECONDS_PER_SECOND
 _SIGNIFICANT_DIGITS = 3
 
 
@@ -82,7 +82,7 @@
 
 def record_seconds(histogram: HdrHistogram, seconds: float) -> None:
     """Add one value, limited to the range of the histogram."""
-    microseconds = max(1, int(seconds * _MICROSECONDS))
+    microseconds = max(1, int(seconds * _MICROSECONDS_PER_SECOND))
     histogram.record_value(min(microseconds, _MAX_MICROSECONDS))
 
 
@@ -92,7 +92,10 @@
         return Quantiles(0, 0.0, 0.0, 0.0, 0.0)
 
     def at(percentile: float) -> float:
-        return float(histogram.get_value_at_percentile(percentile)) / _MICROSECONDS
+        return (
+            float(histogram.get_value_at_percentile(percentile))
+            / _MICROSECONDS_PER_SECOND
+        )
 
     return Quantiles(histogram.get_total_count(), at(50), at(95), at(99), at(100))
 
--- a/lycheepost/standin/engine.py
+++ b/lycheepost/standin/engine.py
@@ -62,6 +62,7 @@
 _MAX_KEPT_RUNS = 2000
 """Runs kept for clients that resume; bounds the memory of a long demo."""
 _HANG_SECONDS = 3600.0
+"""Longer than any caller waits: the call is never answered."""
 
 
 TimingFactory = Callable[[], EngineTiming]
@@ -371,13 +372,15 @@
         return await self._report(request, health)
 
     async def _get_load(self, request: web.Request) -> web.StreamResponse:
-        now = self._clock.now_seconds()
-        newest = now - self.settings.load_lag_seconds
-        old_enough = [item for item in self._loads if item[0] <= newest]
-        sampled, load = old_enough[-1] if old_enough else (now, self._sample_load(0.0))
+        now_seconds = self._clock.now_seconds()
+        newest_seconds = now_seconds - self.settings.load_lag_seconds
+        old_enough = [item for item in self._loads if item[0] <= newest_seconds]
+        sampled_seconds, load = (
+            old_enough[-1] if old_enough else (now_seconds, self._sample_load(0.0))
+        )
         aged = EngineLoad(
             boot_id=load.boot_id,
-            age_seconds=now - sampled,
+            age_seconds=now_seconds - sampled_seconds,
             n_running=load.n_running,
             n_queued=load.n_queued,
             queued_prompt_tokens=load.queued_prompt_tokens,
@@ -409,13 +412,15 @@
 
     async def _sample_loads(self) -> None:
         """Keep recent load samples, from which delayed reports are served."""
-        lag = self.settings.load_lag_seconds
-        pause = max(0.05, lag / 4)
+        lag_seconds = self.settings.load_lag_seconds
+        pause_seconds = max(0.05, lag_seconds / 4)
         while True:
-            now = self._clock.now_seconds()
-            self._loads = [item for item in self._loads if item[0] > now - 2 * lag]
-            self._loads.append((now, self._sample_load(0.0)))
-            await asyncio.sleep(pause)
+            now_seconds = self._clock.now_seconds()
+            self._loads = [
+                item for item in self._loads if item[0] > now_seconds - 2 * lag_seconds
+            ]
+            self._loads.append((now_seconds, self._sample_load(0.0)))
+            await asyncio.sleep(pause_seconds)
 
     # KV export and import.
 
--- a/lycheepost/standin/enginemodel.py
+++ b/lycheepost/standin/enginemodel.py
@@ -169,9 +169,9 @@
         current = self._current
         if current is None or current.n_iterations == 1:
             return
-        elapsed = now_seconds - current.started_seconds
-        done = int(elapsed / current.seconds_per_iteration) + 1
-        current.n_iterations = min(current.n_iterations, done)
+        elapsed_seconds = now_seconds - current.started_seconds
+        n_iterations = int(elapsed_seconds / current.seconds_per_iteration) + 1
+        current.n_iterations = min(current.n_iterations, n_iterations)
 
     def _complete(self, end_seconds: float) -> list[EngineEvent]:
         current = self._current
@@ -243,9 +243,9 @@
 
     def _look_up(self, job: _Job) -> None:
         spec = job.spec
-        cached = self.cache.look_up(spec.salt, spec.levels)
+        found_tokens = self.cache.look_up(spec.salt, spec.levels)
         # The last prompt token is always computed: the first output needs it.
-        job.cached_tokens = min(cached, spec.prompt_tokens - 1)
+        job.cached_tokens = min(found_tokens, spec.prompt_tokens - 1)
         job.remaining_tokens = spec.prompt_tokens - job.cached_tokens
         self._queued_tokens -= job.cached_tokens
 
@@ -272,17 +272,19 @@
     def _start_iterations(self, now_seconds: float) -> None:
         if self._current is not None:
             return
-        chunk = self._plan_prefill()
-        if not chunk and not self._n_running:
+        chunk_tokens = self._plan_prefill()
+        if not chunk_tokens and not self._n_running:
             return
         settings = self.settings
-        each = (
+        seconds_per_iteration = (
             settings.iteration_seconds
             + settings.sequence_seconds * self._n_running
-            + settings.prefill_seconds_per_token * chunk
+            + settings.prefill_seconds_per_token * chunk_tokens
         ) * settings.slowness
-        n_iterations = 1 if chunk else self._iterations_until_finish()
-        self._current = _IterationBatch(now_seconds, each, n_iterations)
+        n_iterations = 1 if chunk_tokens else self._iterations_until_finish()
+        self._current = _IterationBatch(
+            now_seconds, seconds_per_iteration, n_iterations
+        )
 
     def _iterations_until_finish(self) -> int:
         while self._running and self._running[0][2].is_cancelled:
--- a/lycheepost/standin/enginetiming.py
+++ b/lycheepost/standin/enginetiming.py
@@ -35,8 +35,9 @@
     event_lag_seconds=0.2,
     event_loss_share=0.0,
 )
-"""About ten times as fast as a real engine, so that a demo of seconds shows hours of
-traffic. The HTTP server adds the lag of load reports."""
+"""Faster than the real engine of ``EngineSettings`` (prefill 2.5 times, an iteration
+under load 7 times), so that a demo of seconds shows much traffic. The HTTP server adds
+the lag of load reports."""
 
 
 def make_speeds(**changes: float) -> EngineSettings:
@@ -157,11 +158,11 @@
         """Advance the model while it has work."""
         while (due_seconds := self._model.next_event_seconds()) is not None:
             self._submitted.clear()
-            delay = due_seconds - self._clock.now_seconds()
-            if delay > 0:
+            delay_seconds = due_seconds - self._clock.now_seconds()
+            if delay_seconds > 0:
                 # A submitted request may end the current batch of iterations early.
                 try:
-                    async with asyncio.timeout(delay):
+                    async with asyncio.timeout(delay_seconds):
                         await self._submitted.wait()
                 except TimeoutError:
                     pass
--- a/lycheepost/standin/rowstore.py
+++ b/lycheepost/standin/rowstore.py
@@ -12,6 +12,7 @@
 from lycheepost.standin.platformfaults import Faults
 
 HISTORY_ROWS = 10_000
+"""Recent changes kept; older ones are no longer available to followers."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/lycheepost/standin/service.py
+++ b/lycheepost/standin/service.py
@@ -22,6 +22,7 @@
 from lycheepost.standin.webserver import StandinServer
 
 _HANG_SECONDS = 3600.0
+"""Longer than any caller waits: the call is never answered."""
 
 
 @dataclass(frozen=True)
--- a/lycheepost/standin/webserver.py
+++ b/lycheepost/standin/webserver.py
@@ -11,6 +11,7 @@
 from lycheepost.standin.ports import port_of, reserve_port
 
 _HANG_SECONDS = 3600.0
+"""Longer than any caller waits: the call is never answered."""
 
 
 class StandinServer:
--- a/lycheepost/standin/weightstore.py
+++ b/lycheepost/standin/weightstore.py
@@ -17,6 +17,7 @@
 
 MODEL_KEY: web.AppKey["WeightStoreModel"] = web.AppKey("model")
 _LOAD_STEPS = 20
+"""Steps of a load; the speed of each depends on the other loads at its start."""
 
 
 @dataclass
