--- a/lycheepost/commands/intent.py
+++ b/lycheepost/commands/intent.py
@@ -151,7 +151,7 @@
     yes: Yes = False,
     json_output: Json = False,
 ) -> None:
-    """Resume a paused capacity intent.
+    """Resume a paused or failed capacity intent; failed steps are retried.
 
     Exit codes: 0 done, 1 refused, 2 no such intent, 3 no answer.
     """
@@ -168,7 +168,7 @@
     yes: Yes = False,
     json_output: Json = False,
 ) -> None:
-    """Cancel a capacity intent; targets already in a step finish it.
+    """Cancel a capacity intent: draining targets return, loads in progress finish.
 
     Exit codes: 0 done, 1 refused, 2 no such intent, 3 no answer.
     """
--- a/lycheepost/operators/basis.py
+++ b/lycheepost/operators/basis.py
@@ -1,11 +1,11 @@
 """Find what changed in the configuration since a plan was made.
 
-By default a plan can be confirmed only if no other operator's plan was confirmed since
-its basis, because the operator decided on that configuration. At many changes a minute
-this would refuse nearly every confirm, so a confirm may allow changes that are
-unrelated to the plan; the items that the plan read or changed must be unchanged in any
-case. Progress of capacity intents creates revisions as well. It counts only where it
-changes an item of the plan, since otherwise a running rollout could not be paused.
+By default a plan can be confirmed only if no other plan was confirmed since its basis,
+because the operator decided on that configuration. At many changes a minute this would
+refuse nearly every confirm, so a confirm may allow changes that are unrelated to the
+plan; the items that the plan read or changed must be unchanged in any case. Progress of
+capacity intents creates revisions as well. It counts only where it changes an item of
+the plan, since otherwise a running rollout could not be paused.
 """
 
 from lycheepost.generated.configuration import AppliedPlan, Configuration
--- a/lycheepost/operators/capacity_repairs.py
+++ b/lycheepost/operators/capacity_repairs.py
@@ -54,8 +54,8 @@
 def _will_load(intent: CapacityIntent, step: CapacityStep) -> bool:
     """Return whether a step will load its target, so that no repair is needed.
 
-    Waiting steps of paused intents and of retirements do not count: they would block
-    the repair of a target that cannot serve.
+    A waiting step counts only in a running repair or rollout. Those of paused intents
+    and of retirements would block the repair of a target that cannot serve.
     """
     if step.state in ACTIVE_STEPS:
         return True
