--- a/lycheepost/operators/basis.py
+++ b/lycheepost/operators/basis.py
@@ -1,11 +1,11 @@
 """Find what changed in the configuration since a plan was made.
 
-By default a plan can be confirmed only if no other operator's plan was confirmed since
-its basis, because the operator decided on that configuration. At many changes a minute
-this would refuse nearly every confirm, so a confirm may allow changes that are
-unrelated to the plan; the items that the plan read or changed must be unchanged in any
-case. Progress of capacity intents creates revisions as well. It counts only where it
-changes an item of the plan, since otherwise a running rollout could not be paused.
+By default a plan can be confirmed only if no other plan was confirmed since its basis,
+because the operator decided on that configuration. At many changes a minute this would
+refuse nearly every confirm, so a confirm may allow changes that are unrelated to the
+plan; the items that the plan read or changed must be unchanged in any case. Progress of
+capacity intents creates revisions as well. It counts only where it changes an item of
+the plan, since otherwise a running rollout could not be paused.
 """
 
 from lycheepost.generated.configuration import AppliedPlan, Configuration
@@ -34,15 +34,15 @@
     plan: Plan, configuration: Configuration, allow_unrelated: bool
 ) -> list[Fault]:
     """Return all changes since the plan's basis that prevent its confirm."""
-    moved = _find_changed_items(plan, configuration)
+    item_changes = _find_changed_items(plan, configuration)
     if allow_unrelated:
-        return moved
+        return item_changes
     later = [
         entry
         for entry in configuration.applied_plans
         if entry.revision > plan.basis_revision
     ]
-    faults = moved + [_describe_plan(entry) for entry in later]
+    faults = item_changes + [_describe_plan(entry) for entry in later]
     if not has_history_since(configuration, plan.basis_revision):
         reason = "more plans were confirmed since than are remembered"
         faults.append(Fault("revision", str(configuration.revision), reason))
