--- a/features/callers/api.feature
+++ b/features/callers/api.feature
@@ -44,6 +44,8 @@
     Then the second customer's answer used no cached tokens
 
   Scenario: A model that is not open to a customer looks like a missing one
+    An error that distinguishes the two would reveal the names of other customers'
+    models.
     Given a running fleet of 1 daemons
     And the second customer may use only the model "other"
     When the second customer asks for the fleet's model
--- a/features/callers/faults.feature
+++ b/features/callers/faults.feature
@@ -17,6 +17,8 @@
       | complete | freezes |
 
   Scenario: An answer that cannot be continued ends with an explicit error
+    No other engine can continue a tool call from its text. If the stream ended
+    normally, its caller would use half a tool call.
     Given a running fleet of 1 daemons
     When a streamed chat with tools loses its engine in the middle
     Then the stream ends with an error event and without [DONE]
@@ -32,11 +34,15 @@
     And unrelated chats sent meanwhile are complete
 
   Scenario: A caller leaves and its engine stops
+    Without a cancel call the engine would generate the rest of an answer that is not
+    read.
     Given a running fleet of 1 daemons
     When a caller leaves in the middle of a long stream
     Then the engine cancels that run
 
   Scenario: A graceful shutdown cuts no request in flight
+    A daemon drains while callers receive streams. If it stopped at once, they would be
+    truncated; if its address stayed listed, new requests would come to it in vain.
     Given a running fleet of 2 daemons
     When 8 streams run through the first daemon and it starts to drain
     Then the other daemon stops listing its address before it drains
--- a/features/callers/once.feature
+++ b/features/callers/once.feature
@@ -2,12 +2,16 @@
   A print order must be neither lost nor run twice.
 
   Scenario: A resend through any daemon gets the first answer byte for byte
+    The response is lost and the caller resends through another daemon. If claims were
+    known only to one daemon, the order would be printed again.
     Given a running fleet of 3 daemons
     When an order is sent once through each daemon with one key
     Then all answers are equal byte for byte
     And the service ran the order once
 
   Scenario: One key with another body is refused
+    A caller reuses a key by mistake. If it got the first order's response, the second
+    order would be lost without an error.
     Given a running fleet of 2 daemons
     When an order is sent, and another body with the same key through the other daemon
     Then the answer has status 422 and code "idempotency_key_reused"
@@ -68,6 +72,7 @@
     Then the order ran 1 times before the drain ended
 
   Scenario: A keyed streamed answer is replayed to a resend
+    If the resend ran again, its caller could get a different text from the first.
     Given a running fleet of 2 daemons
     When a streamed chat is sent twice with one key through two daemons
     Then both streams are equal byte for byte and the engine ran one chat
--- a/features/promises/promises.feature
+++ b/features/promises/promises.feature
@@ -31,7 +31,8 @@
     And no daemon ever showed a lower revision than before
 
   Scenario: A leaving target gets no new work after a few seconds
-    Operators retire a target during traffic. Its VM is removed shortly afterwards.
+    Operators retire a target during traffic. Its VM is removed shortly afterwards, and
+    a request sent to it then would be lost.
 
     Given a running fleet
     When an operator retires engine 0 and confirms it during traffic
@@ -55,6 +56,9 @@
       | and the daemon that planned them restarts       |
 
   Scenario: A plan changes nothing until it is confirmed
+    If a plan took effect before its operator confirmed it, a mistaken intent would
+    retire an engine.
+
     Given a running fleet
     When an operator plans to retire engine 0 and does not confirm
     Then the revision is still 1 and engine 0 still gets work
@@ -91,6 +95,9 @@
       | all sends come at once               | exactly once   |
 
   Scenario: One key with another body is refused
+    A caller reuses a key by mistake. If it got the first order's response, the second
+    order would be lost without an error.
+
     Given a running fleet
     When an order is sent with a key that another order has used
     Then it is refused with 422 and has not run
@@ -105,13 +112,17 @@
     And the second customer's did not
 
   Scenario: A graceful shutdown cuts no request
-    A VM is shut down while its daemon relays long answers.
+    A VM is shut down while its daemon relays long answers. If the daemon stopped at
+    once, its callers would get truncated answers.
 
     Given a running fleet
     When daemon 1 drains and stops while 20 long answers run through it
     Then all 20 answers are complete
 
   Scenario: A slow caller costs bounded memory and its leaving frees the engine
+    Callers leave in the middle of long answers. If their requests were not cancelled,
+    the engines would keep generating answers that are not read.
+
     Given a running fleet
     When 10 callers leave in the middle of long answers
     Then the engines run nothing 2 seconds later
--- a/features/targets/calls.feature
+++ b/features/targets/calls.feature
@@ -21,6 +21,9 @@
       | SlowCall(9)      | TargetLost    | unknown   | 0 |
 
   Scenario: A service that takes no connection has certainly not run the order
+    If the outcome were reported as unknown, the order could not be sent again and
+    would be lost.
+
     Given the service has stopped
     When an order is sent that may not be repeated
     Then the order's outcome is "TargetUnreachable", run "no"
--- a/features/targets/reports.feature
+++ b/features/targets/reports.feature
@@ -29,11 +29,17 @@
     Then none of them is returned, and a read from the start returns all 8
 
   Scenario: A load report counts from when it was measured
+    If a report counted from its arrival, requests sent after its measurement would be
+    missing from the target's load.
+
     Given an engine whose load reports are 0.4 seconds old
     When an observer polls it while 5 prompts run
     Then the load reports were measured at least 0.4 seconds before they arrived
 
   Scenario Outline: An engine's own words decide whether it gets new work
+    If the reported state were ignored, requests would be sent to engines that leave or
+    have stopped, and fail there.
+
     Given an engine that loses no cache events
     When the engine is <state> and an observer polls it
     Then the signal of its state is "<signal>"
--- a/features/targets/steps/bed.py
+++ b/features/targets/steps/bed.py
@@ -20,6 +20,7 @@
 from lycheepost.targets.errors import StreamLost
 from lycheepost.targets.relay import RelayComplete, RelayLost, relay
 
+# Short time-outs, so that they expire within a scenario.
 SETTINGS = StreamSettings(
     silence_seconds=0.3,
     first_byte_seconds=3.0,
--- a/features/targets/streams.feature
+++ b/features/targets/streams.feature
@@ -87,11 +87,17 @@
       | WrongEcho()  | TargetLost    | unknown   |
 
   Scenario: A target that takes no connection has certainly not run the request
+    If the outcome were reported as unknown, a non-idempotent request could not be sent
+    to another target.
+
     Given the engine has stopped
     When a caller asks for 12 tokens over a relay
     Then the call fails with "TargetUnreachable", run "no"
 
   Scenario: Weights that differ from the wanted ones are refused
+    An engine has changed its weights since the request was placed. Its answer would
+    come from another version of the model than the request was routed for.
+
     Given the engine holds the weights "w2"
     When a caller asks for 12 tokens over a relay
     Then the call fails with "TargetRefused", run "no"
--- a/lycheepost/callers/awaiting.py
+++ b/lycheepost/callers/awaiting.py
@@ -1,7 +1,7 @@
 """Wait for the headers of a target's response, and close it when abandoned.
 
-If a caller leaves or its time-out passes at the moment its response begins, nothing
-else refers to the response, and the target would keep working until the connection is
+A caller may leave, or its time-out may pass, at the moment its response begins. The
+response then has no reader, and the target keeps working until its connection is
 closed. An abandoned response is therefore closed when it arrives.
 """
 
@@ -14,14 +14,14 @@
 from lycheepost.targets.errors import TargetError
 from lycheepost.targets.forward import ForwardResponse
 
-Sent = Result[ForwardResponse, TargetError]
+AttemptResult = Result[ForwardResponse, TargetError]
 
 
 async def await_headers(
-    send: Coroutine[Any, Any, Sent],
+    send: Coroutine[Any, Any, AttemptResult],
     wait_seconds: float,
     may_abandon: Callable[[], bool],
-) -> Sent:
+) -> AttemptResult:
     """Return the result of an attempt.
 
     Args:
@@ -46,7 +46,7 @@
         raise
 
 
-def _close_unwanted(sending: "asyncio.Future[Sent]") -> None:
+def _close_unwanted(sending: "asyncio.Future[AttemptResult]") -> None:
     """Close a response that arrived after its attempt was abandoned."""
     if sending.cancelled() or sending.exception() is not None:
         return
--- a/lycheepost/callers/deps.py
+++ b/lycheepost/callers/deps.py
@@ -80,11 +80,11 @@
         make_request_id: Returns ids that are unique in the fleet.
         on_unreachable: Called with a target that accepted no connection.
         incarnation_of: Returns the boot id that a target last reported.
-        is_same_target: Asks a target whether it is still the given incarnation.
+        is_same_target: Asks a target whether it still has the given boot id.
         on_sample: Called with each finished request.
         is_draining: Whether this daemon is draining.
         status: Returns the content of ``/admin/status``.
-        versions: Chooses the weights of a request while its model changes.
+        versions: Chooses the weights of a request while a model's weights change.
         hot: Counts the prefixes that requests share, to warm targets with.
         quotas: The quotas of customers; None where they are not enforced.
     """
--- a/lycheepost/callers/dispatch.py
+++ b/lycheepost/callers/dispatch.py
@@ -43,8 +43,8 @@
 while 50 wake-ups a second cost an idle daemon under 0.1% of a core."""
 
 IDLE_TICK_SECONDS = 0.4
-"""The same interval while no request is queued or running: a standby daemon of a large
-fleet is idle nearly all of the time."""
+"""Interval while no request is queued or running. A standby daemon of a large fleet is
+idle nearly all of the time."""
 
 _log = structlog.get_logger(part="dispatch")
 
@@ -189,7 +189,7 @@
         self._scheduler.set_sharing_limits(n_daemons, self._clock.now_seconds())
 
     def draw_admission(self, n_waiting: Callable[[TargetGroupId], int]) -> None:
-        """Draw this daemon's share of the free slots that waiting peers also see."""
+        """Draw a random share of the free slots if peers have queued requests too."""
         self._scheduler.draw_admission(n_waiting, self._clock.now_seconds())
 
     def waiting_groups(self) -> tuple[TargetGroupId, ...]:
@@ -240,11 +240,14 @@
         self._on_loss = callback
 
     def note_peer_suspect(self, target: TargetId) -> None:
-        """Place no suspect on a target on which another daemon is trying one."""
+        """Keep suspects off a target on which another daemon is trying one.
+
+        A suspect is a request that may crash its targets.
+        """
         self._scheduler.note_peer_suspect(target, self._clock.now_seconds())
 
     def on_suspect(self, callback: Callable[[TargetId], None]) -> None:
-        """Call ``callback`` at once with each target that a suspect is sent to."""
+        """Call ``callback`` at once with each target that is sent a suspect."""
         self._on_suspect = callback
 
     def _deliver(self, outcomes: list[Outcome]) -> None:
@@ -266,7 +269,7 @@
             try:
                 self._deliver(self._scheduler.tick(self._clock.now_seconds()))
             except Exception:
-                # An error in one tick must not stop the queue for all requests.
+                # Without further ticks, queued requests would wait forever.
                 _log.exception("dispatch: the tick failed")
 
     async def _pause(self) -> None:
--- a/lycheepost/callers/exchange.py
+++ b/lycheepost/callers/exchange.py
@@ -3,7 +3,7 @@
 admit -> place -> send -> relay, and again on another target where that is allowed:
 
 - after a target that accepted no connection: always, as the request has not run;
-- after a target that refused, was lost or broke off: only if it is idempotent;
+- after a target that refused, was lost or broke off: only an idempotent request;
 - once the caller has part of the response: only if another engine can continue it from
   the text delivered so far.
 """
@@ -38,7 +38,7 @@
 TARGET_LOST_RETRY_SECONDS = 1.0
 """All daemons notice a lost target within about a second."""
 _BUSY_STATUSES = (409, 429, 503)
-"""The target is faulty or busy and the request is valid; another may accept it."""
+"""The target is busy or holds other weights (409); another may accept the request."""
 _rng = random.Random()
 _log = structlog.get_logger(part="callers")
 
@@ -159,7 +159,7 @@
             self._deps.dispatcher.finish(self._work.request, kind)
 
     async def _pause(self) -> None:
-        """Back off after the loss of a target; after a refusal, continue at once."""
+        """Wait after the loss of a target; otherwise retry at once."""
         if self._has_lost_target:
             has_output = self._delivered is not None
             await asyncio.sleep(retry_pause_seconds(has_output, _rng))
@@ -183,7 +183,7 @@
 
     async def _relay(self, stream: EngineStream) -> tuple[ExchangeResult, FinishKind]:
         first = await stream.read()
-        self._note_first()
+        self._note_first_token()
         try:
             await self._sink.begin(first or b"")
         except (ConnectionError, RuntimeError):
@@ -200,7 +200,7 @@
             case RelayLost(error):
                 raise error
 
-    def _note_first(self) -> None:
+    def _note_first_token(self) -> None:
         self._deps.dispatcher.first_token(self._work.request)
         if self._first_seconds is None:
             self._first_seconds = self._deps.clock.now_seconds()
--- a/lycheepost/callers/forwardcalls.py
+++ b/lycheepost/callers/forwardcalls.py
@@ -69,7 +69,7 @@
     """
     engine = None
     if request.prompt is not None:
-        engine = _engine_terms(deps, route_match, request.prompt, listed)
+        engine = _engine_options(deps, route_match, request.prompt, listed)
     return ForwardCall(
         target=listed.target,
         address=listed.address,
@@ -86,7 +86,7 @@
     )
 
 
-def _engine_terms(
+def _engine_options(
     deps: ForwardDeps, route_match: RouteMatch, prompt: Prompt, listed: ListedTarget
 ) -> EngineOptions:
     """Return the weights, cache scope, rank and KV store for an engine."""
@@ -95,7 +95,7 @@
     scope = make_scope(route_match.holder, version)
     levels = prompt_levels(scope, prompt)
     store = choose_kv_store(route_table(deps), levels)
-    is_sent = bool(store) and deps.kv_store_contents.should_send(
+    should_store = bool(store) and deps.kv_store_contents.should_send(
         store, levels, deps.clock.now_seconds()
     )
     return EngineOptions(
@@ -104,5 +104,5 @@
         weights_version=version,
         rank=engine_rank(route_match),
         fetch_from=store,
-        store_to=store if is_sent else "",
+        store_to=store if should_store else "",
     )
--- a/lycheepost/callers/forwarddeps.py
+++ b/lycheepost/callers/forwarddeps.py
@@ -35,7 +35,8 @@
         caller_timeout_seconds: The caller's deadline for the complete response, counted
             from arrival; None when it sets none.
         prompt: None when the request describes no prompt.
-        after_event: The last event that the caller has of an earlier answer.
+        after_event: Id of the last event that the caller has of an earlier answer;
+            None for a request that starts from the beginning.
     """
 
     caller_id: str
@@ -128,12 +129,13 @@
     Attributes:
         quotas: The quotas of customers.
         kv_store_contents: Estimates which prefixes the KV stores hold.
-        key_rule: How long keys may be trusted; read again for each request.
-        is_same_incarnation: Asks whether a target has not restarted since the given
-            record of it was read.
-        draw_split_point: Draws a number in [0, 1) that chooses among split groups.
-        on_answer_headers: Called with the headers of each response, for what they
-            report of the target, with the target as it was sent to and the time.
+        key_rule: Returns how long keys may be trusted; called for each request.
+        is_same_incarnation: Asks whether a target is still the incarnation that the
+            request was sent to.
+        draw_split_point: Draws a number in [0, 1) that chooses among the groups of a
+            route that splits its traffic.
+        on_answer_headers: Called with the target, the headers of its response, which
+            may report its state, and the time at which the request was sent.
         is_backed_off: Whether a target has asked for a back-off that still lasts.
     """
 
--- a/lycheepost/callers/forwarding.py
+++ b/lycheepost/callers/forwarding.py
@@ -52,7 +52,7 @@
 from lycheepost.targets.forward import ForwardResponse
 
 NOT_RUN_RETRY_SECONDS = 0.2
-"""By then a target that was busy or changing usually has capacity again."""
+"""By then a target that was busy or changed its weights usually has capacity again."""
 
 DEADLINE_MARGIN_SECONDS = 0.02
 """Lets the time-out response reach the caller before its own deadline."""
@@ -407,9 +407,9 @@
     ) -> FinishKind:
         """Return how the end of an attempt is reported to the scheduler.
 
-        Only the loss of a target may be attributed to the request. If broken
-        connections counted as well, two of them would quarantine a request that
-        crashes no target.
+        Only the loss or restart of a target may be attributed to the request. If
+        broken connections counted as well, two of them would quarantine a request
+        that crashes no target.
         """
         if end is None:
             return FinishKind.COMPLETE
--- a/lycheepost/callers/relaying.py
+++ b/lycheepost/callers/relaying.py
@@ -22,7 +22,8 @@
 from lycheepost.targets.forwardcall import ResponseHead
 
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
-"""Largest response that is buffered; a larger one counts as broken."""
+"""Largest response that is buffered, so that a faulty target cannot fill the memory; a
+larger one counts as broken."""
 
 _FIRST_ERROR_STATUS = 400
 _FIRST_SERVER_ERROR_STATUS = 500
--- a/lycheepost/callers/routes.py
+++ b/lycheepost/callers/routes.py
@@ -32,7 +32,7 @@
 from lycheepost.generated.callers import ModelEntry, ModelList
 
 DRAIN_RETRY_SECONDS = 1.0
-"""Another address can serve at once; the client need not wait for this daemon."""
+"""Another address can serve at once, and ``Retry-After`` states at least a second."""
 JSON_CONTENT_TYPE = "application/json"
 _log = structlog.get_logger(part="callers")
 
--- a/lycheepost/callers/services.py
+++ b/lycheepost/callers/services.py
@@ -1,8 +1,9 @@
 """Serve one call to a plain service.
 
 identify -> read -> claim -> admit -> send -> settle. GET, HEAD, PUT, DELETE and OPTIONS
-may be repeated, as HTTP defines them. Any other method runs at most once: fleet-wide
-with an idempotency key, otherwise by this daemon.
+may be repeated, as HTTP defines, unless the caller marks the call as non-idempotent.
+Any other call runs at most once: in the whole fleet with an idempotency key, otherwise
+for each time that the caller sends it.
 """
 
 import asyncio
--- a/lycheepost/callers/versions.py
+++ b/lycheepost/callers/versions.py
@@ -16,7 +16,10 @@
 
 @dataclass
 class RequestVersions:
-    """Chooses versions; targets are counted when they change, not per request."""
+    """Chooses versions.
+
+    The targets of each version are counted when targets change, not per request.
+    """
 
     _chooser: VersionChooser = field(default_factory=lambda: VersionChooser({}, {}))
 
@@ -30,6 +33,6 @@
         """Return the weights version to serve a request with."""
         if not model.next_weights_version:
             return WeightsVersion(model.weights_version)
-        outermost = segments[0][:_KEY_PREFIX_BYTES] if segments else b""
-        key = hash_bytes(outermost, hash_bytes(customer.encode()))
+        first_segment = segments[0][:_KEY_PREFIX_BYTES] if segments else b""
+        key = hash_bytes(first_segment, hash_bytes(customer.encode()))
         return self._chooser.choose(ModelId(model.model), key)
--- a/lycheepost/targets/cachewatch.py
+++ b/lycheepost/targets/cachewatch.py
@@ -21,18 +21,18 @@
 
 POLL_INTERVAL_SECONDS = 0.5
 """Pause between two polls of one source. A cache estimate half a second old is good
-enough, because a part is kept for many seconds. Polling at every event would cost
-each engine and each daemon ten calls a second."""
+enough, because an engine keeps cached parts of prompts for many seconds. Polling at
+every event would cost each engine and each daemon ten calls a second."""
 
-RETRY_SECONDS = 1.0
+FAILED_POLL_PAUSE_SECONDS = 1.0
 """Pause after a failed poll."""
 
 FULL_READ_PAUSE_SECONDS = 0.3
 """Pause after each full read of an engine's events. Engines keep thousands of events,
-a quarter of a megabyte. Six full reads at once fill a link of 10 Mbit/s for longer
-than the time-out of a call; the reads then start again from scratch and block all
-requests on the link. Full reads one at a time, with this pause, leave most of the
-link free."""
+a quarter of a megabyte in total. Six full reads at once would fill a link of 10 Mbit/s
+for longer than the time-out of a call. All of them would fail and start again from
+scratch, and block all requests on the link. Full reads one at a time, with this pause,
+leave most of the link free."""
 
 _log = structlog.get_logger(part="cache")
 
@@ -150,7 +150,7 @@
                             reason=error.reason,
                         )
                     is_failing = True
-                    await asyncio.sleep(RETRY_SECONDS)
+                    await asyncio.sleep(FAILED_POLL_PAUSE_SECONDS)
 
     async def _read(
         self, address: str, since: int
--- a/lycheepost/targets/calls.py
+++ b/lycheepost/targets/calls.py
@@ -33,8 +33,8 @@
         body: The JSON sent to the engine, with cache salt and priority.
         weights_version: Weights version that must produce the answer.
         levels: Prefix levels, sent to the engine for its cache events.
-        continues: The part of this answer that another target delivered before;
-            the body must then be the ``continuation_body`` of the first one.
+        continues: The part of this answer that another target has delivered; the
+            body must then come from ``continuation_body``.
     """
 
     target: TargetId
--- a/lycheepost/targets/continuation.py
+++ b/lycheepost/targets/continuation.py
@@ -31,9 +31,9 @@
 
     Returns:
         None when the answer cannot be continued: it has several choices, log
-        probabilities, tools or another prompt form, or the caller's token limit
-        is used up, so that only the end of the stream is missing and the engine
-        has nothing to add.
+        probabilities or tools, its prompt is not one text, or the caller's token
+        limit is used up. In the last case only the end of the stream is missing
+        and the engine has nothing to add.
     """
     request: dict[str, Any] = json.loads(body)
     if request.get("n", 1) != 1 or request.get("logprobs"):
--- a/lycheepost/targets/engine.py
+++ b/lycheepost/targets/engine.py
@@ -30,13 +30,13 @@
 _log = structlog.get_logger(part="targets")
 _MAX_REJECTION_BYTES = 16 * 1024
 """Limit of a rejection's body that is kept for the caller."""
-_CANCEL_SECONDS = 2.0
+_CANCEL_TIMEOUT_SECONDS = 2.0
 _IN_USE_WINDOW_SECONDS = 60.0
 """A target counts as in use for this long after its last request; hot prefixes
 shift within minutes."""
 _MAX_CANCELS = 1000
-"""Limit of cancel calls in flight; otherwise they pile up when a target is dead.
-A cancel call that is skipped only costs the engine the rest of one answer."""
+"""Limit of cancel calls in flight, which would otherwise pile up when a target is
+dead. A skipped cancel call only costs the engine the rest of one answer."""
 
 
 class EngineClient:
@@ -59,7 +59,7 @@
     async def drain(self) -> None:
         """Wait for cancel calls in flight; streams belong to their requests."""
         if self._cancels:
-            await asyncio.wait(self._cancels, timeout=_CANCEL_SECONDS)
+            await asyncio.wait(self._cancels, timeout=_CANCEL_TIMEOUT_SECONDS)
 
     async def stop(self) -> None:
         """Close all connections."""
@@ -152,8 +152,8 @@
         """
         post = asyncio.create_task(self._post(call))
         try:
-            bound = self.settings.silence_seconds
-            done, _ = await asyncio.wait({post}, timeout=bound)
+            timeout_seconds = self.settings.silence_seconds
+            done, _ = await asyncio.wait({post}, timeout=timeout_seconds)
             if done or not call.expects_stream:
                 return await post
             found = await self.resume(call, 0)
@@ -222,7 +222,7 @@
     async def _cancel(self, url: str, request: RequestId) -> None:
         address = f"{url}/v1/requests/{request}/cancel"
         try:
-            async with asyncio.timeout(_CANCEL_SECONDS):
+            async with asyncio.timeout(_CANCEL_TIMEOUT_SECONDS):
                 response = await self._open_session().post(address)
                 response.release()
         except (aiohttp.ClientError, OSError, TimeoutError):
@@ -236,12 +236,12 @@
         One task checks all streams four times per time-out, because a timer per
         stream, reset at each of 31,500 reads a second, costs more than the reads.
         """
-        bound = self.settings.silence_seconds
+        timeout_seconds = self.settings.silence_seconds
         while True:
-            await asyncio.sleep(bound / 4)
-            now = self._clock.now_seconds()
+            await asyncio.sleep(timeout_seconds / 4)
+            now_seconds = self._clock.now_seconds()
             for stream in tuple(self._streams):
-                stream.check_silence(now)
+                stream.check_silence(now_seconds)
 
 
 _IDENTITY_ENCODING = {"Accept-Encoding": "identity"}
--- a/lycheepost/targets/observe.py
+++ b/lycheepost/targets/observe.py
@@ -47,7 +47,9 @@
 """Limit of calls in flight, so that calls to targets that do not answer for two
 seconds neither delay the reports of all others nor pile up."""
 _TICK_SECONDS = 0.05
+"""Interval of checks for due polls; a tenth of the shortest default period."""
 _PLAN_REFRESH_SECONDS = 5.0
+"""Interval at which the plan is updated for the targets that are now in use."""
 
 
 @dataclass(frozen=True)
--- a/lycheepost/targets/pollplan.py
+++ b/lycheepost/targets/pollplan.py
@@ -3,9 +3,10 @@
 Small fleets are polled for all reports at the intervals of the settings. For 12,000
 servers that is too much: three reports of about 500 bytes a second from each are
 18 MB/s, while a daemon may use 2 KB/s for control traffic. So the plan keeps to a
-budget of calls a second. If the budget is too small, it lengthens the periods of all
-kinds by the same factor. Targets that this daemon sends requests to are polled for
-all reports, the others only for their health, a tenth as often.
+budget of calls a second. If the budget does not cover all reports, only targets that
+this daemon sends requests to are polled for all of them; the others are polled only
+for their health, a tenth as often. If that is still too much, the periods of all kinds
+are lengthened by the same factor.
 """
 
 import heapq
--- a/lycheepost/targets/stream.py
+++ b/lycheepost/targets/stream.py
@@ -34,9 +34,9 @@
 _MAX_UNSTREAMED_BYTES = 16 * 1024 * 1024
 """Largest answer that is not streamed; 4,096 tokens with log probabilities take
 less than a tenth of this."""
-_BODY_END_SECONDS = 0.25
-"""Time-out for the end of the HTTP body after ``[DONE]``; with it the connection can
-be reused."""
+_BODY_END_TIMEOUT_SECONDS = 0.25
+"""Time-out for the end of the HTTP body after ``[DONE]``. The connection can be reused
+only after a complete body."""
 
 
 class StreamOwner(Protocol):
@@ -183,8 +183,8 @@
         if checker.fault is not None:
             await self._recover(checker.fault)
             return True
-        if content.exception() is None and (held := content.read_nowait()):
-            ready = self._check(held)
+        if content.exception() is None and (buffered := content.read_nowait()):
+            ready = self._check(buffered)
             return not ready or write(ready)
         if content.is_eof() or not attach_handler(
             content, BodyHandler(handle_data, stop)
@@ -221,8 +221,10 @@
             self._idle_since_seconds = now_seconds
             return
         settings = self._client.settings
-        bound = settings.silence_seconds if n_events else settings.first_byte_seconds
-        if now_seconds - self._idle_since_seconds > bound:
+        timeout_seconds = (
+            settings.silence_seconds if n_events else settings.first_byte_seconds
+        )
+        if now_seconds - self._idle_since_seconds > timeout_seconds:
             self._idle_since_seconds = None
             silence = TimeoutError("silent")
             self._content.set_exception(silence)
@@ -328,7 +330,7 @@
         self._is_finished = True
         self._client.remove_stream(self)
         try:
-            async with asyncio.timeout(_BODY_END_SECONDS):
+            async with asyncio.timeout(_BODY_END_TIMEOUT_SECONDS):
                 rest = await self._content.readany()
         except (aiohttp.ClientError, OSError, TimeoutError):
             rest = b"."
--- a/lycheepost/targets/weightsport.py
+++ b/lycheepost/targets/weightsport.py
@@ -47,7 +47,8 @@
     Attributes:
         holder: Daemon that holds the lease.
         fencing_number: Fencing number of the holder's lease.
-        expected_orders: The target refuses the order if it has accepted more orders.
+        expected_orders: The target refuses the order if it has accepted more orders
+            than this.
     """
 
     model: ModelId
