--- a/features/targets/steps/checker.py
+++ b/features/targets/steps/checker.py
@@ -67,7 +67,7 @@
     check()
 
 
-@then('what is passed is the whole answer, or its own start where "{fault}" ends it')
+@then('what is passed is the complete answer, or its own start where "{fault}" ends it')
 def then_passed(context, fault):
     assert len(context.results) >= 100
     for passed, at, checker in context.results:
--- a/features/targets/steps/reuse_steps.py
+++ b/features/targets/steps/reuse_steps.py
@@ -78,8 +78,8 @@
         # The client has closed it already.
         return
     connection = writer.get_extra_info("socket")
-    at_once = struct.pack("ii", 1, 0)
-    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, at_once)
+    no_linger = struct.pack("ii", 1, 0)
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, no_linger)
     writer.transport.abort()
 
 
--- a/features/targets/steps/streams.py
+++ b/features/targets/steps/streams.py
@@ -152,7 +152,7 @@
     context.run(asyncio.sleep(seconds))
 
 
-@then("the caller has the whole answer, numbered without a gap")
+@then("the caller has the complete answer, numbered without a gap")
 def then_whole(context):
     words, numbers, is_done = context.bed.received()
     assert words == context.bed.expected(12), (words, context.bed.outcome)
--- a/features/targets/streams.feature
+++ b/features/targets/streams.feature
@@ -10,7 +10,7 @@
 
     Given the engine's next answer shows "<fault>"
     When a caller asks for 12 tokens <way>
-    Then the caller has the whole answer, numbered without a gap
+    Then the caller has the complete answer, numbered without a gap
     And the engine ran 1 request
 
     Examples:
@@ -37,7 +37,7 @@
 
     Given events in reads of any size with "<fault>" among them
     When each read is checked and the rest is requested after each fault
-    Then what is passed is the whole answer, or its own start where "<fault>" ends it
+    Then what is passed is the complete answer, or its own start where "<fault>" ends it
 
     Examples:
       | fault   |
@@ -121,7 +121,7 @@
     Given a second engine
     And the engine's next answer shows "CrashAt(<after>)"
     When a caller asks for 12 tokens of a <kind>, to be continued elsewhere
-    Then the caller has the whole answer, numbered without a gap
+    Then the caller has the complete answer, numbered without a gap
     And the usage is 12 tokens
 
     Examples:
@@ -156,7 +156,7 @@
     When a caller asks for 12 tokens over a relay
     And the engine's open connections go silent and 0.5 seconds pass
     And a caller asks for 12 tokens over a relay
-    Then the caller has the whole answer, numbered without a gap
+    Then the caller has the complete answer, numbered without a gap
 
   Scenario: A request that vanished in a dead connection is noticed early
     A pooled connection breaks while it may still be reused. A request sent on it
--- a/lycheepost/targets/forwardcall.py
+++ b/lycheepost/targets/forwardcall.py
@@ -81,7 +81,8 @@
     Attributes:
         headers: Headers for the caller, unchanged.
         answers_other_request: Whether it is the response to another request.
-        is_sealed: Whether a header of the target vouches for the response.
+        is_sealed: Whether it carries the target's seal, a header that targets add to
+            their responses. A response without it may be corrupted.
         is_encoded: Whether a content encoding changed the body.
         was_not_run: Whether the target states that it did not run the request and
             will not.
--- a/lycheepost/targets/pollplan.py
+++ b/lycheepost/targets/pollplan.py
@@ -86,9 +86,9 @@
         wanted = set(targets)
         for target in sorted(wanted - self._targets):
             for kind in ReportKind:
-                period = self._settings.period_seconds[kind]
-                delay = period * self._random.random()
-                self._push(Poll(target, kind), now_seconds + delay)
+                period_seconds = self._settings.period_seconds[kind]
+                delay_seconds = period_seconds * self._random.random()
+                self._push(Poll(target, kind), now_seconds + delay_seconds)
         self._targets = wanted
         self._update_period_factor()
 
@@ -102,7 +102,7 @@
             is_in_use = self._fits_budget or self._is_in_use(poll.target)
             if is_in_use or poll.kind is ReportKind.HEALTH:
                 taken.append(poll)
-            self._push(poll, now_seconds + self._next_delay(poll, is_in_use))
+            self._push(poll, now_seconds + self._next_delay_seconds(poll, is_in_use))
         return taken + self._take_rechecks(now_seconds)
 
     def recheck(self, target: TargetId, now_seconds: float) -> None:
@@ -138,11 +138,11 @@
         self._n_pushed += 1
         heapq.heappush(self._due, (due_seconds, self._n_pushed, poll))
 
-    def _next_delay(self, poll: Poll, is_in_use: bool) -> float:
-        period = self._settings.period_seconds[poll.kind] * self._period_factor
+    def _next_delay_seconds(self, poll: Poll, is_in_use: bool) -> float:
+        period_seconds = self._settings.period_seconds[poll.kind] * self._period_factor
         if poll.kind is ReportKind.HEALTH and not is_in_use:
-            period *= _IDLE_PERIOD_FACTOR
-        return period * (1 + _JITTER_SHARE * (self._random.random() - 0.5))
+            period_seconds *= _IDLE_PERIOD_FACTOR
+        return period_seconds * (1 + _JITTER_SHARE * (self._random.random() - 0.5))
 
     def _update_period_factor(self) -> None:
         """Set the factor so that the wanted rate of polls fits the budget."""
@@ -156,5 +156,5 @@
             self._fits_budget or self._is_in_use(target) for target in self._targets
         )
         n_idle = len(self._targets) - n_in_use
-        wanted = n_in_use * full_rate + n_idle * idle_rate
-        self._period_factor = max(1.0, wanted / self._settings.calls_per_second)
+        wanted_rate = n_in_use * full_rate + n_idle * idle_rate
+        self._period_factor = max(1.0, wanted_rate / self._settings.calls_per_second)
