--- a/lycheepost/targets/errors.py
+++ b/lycheepost/targets/errors.py
@@ -81,4 +81,4 @@
 
 @dataclass(frozen=True)
 class StreamCrossed(StreamLost):
-    """The target sent an answer of another request; none of it was delivered."""
+    """The target sent data of another request; none of that was delivered."""
--- a/lycheepost/targets/session.py
+++ b/lycheepost/targets/session.py
@@ -27,7 +27,7 @@
 def make_session(
     settings: StreamSettings, is_pooled: bool = True
 ) -> aiohttp.ClientSession:
-    """Return a session whose connections are reused after a short idle time, or never.
+    """Return a session that reuses connections for a limited idle time, or never.
 
     A device in between, such as a switch, may have dropped the state of a connection
     that was idle for long; the next request on it would be lost without an error.
