--- a/features/targets/streams.feature
+++ b/features/targets/streams.feature
@@ -10,7 +10,7 @@
 
     Given the engine's next answer shows "<fault>"
     When a caller asks for 12 tokens <way>
-    Then the caller has the whole answer, numbered without a gap
+    Then the caller has the complete answer, numbered without a gap
     And the engine ran 1 request
 
     Examples:
@@ -37,7 +37,7 @@
 
     Given events in reads of any size with "<fault>" among them
     When each read is checked and the rest is requested after each fault
-    Then what is passed is the whole answer, or its own start where "<fault>" ends it
+    Then what is passed is the complete answer, or its own start where "<fault>" ends it
 
     Examples:
       | fault   |
@@ -87,11 +87,17 @@
       | WrongEcho()  | TargetLost    | unknown   |
 
   Scenario: A target that takes no connection has certainly not run the request
+    If the outcome were reported as unknown, a non-idempotent request could not be sent
+    to another target.
+
     Given the engine has stopped
     When a caller asks for 12 tokens over a relay
     Then the call fails with "TargetUnreachable", run "no"
 
   Scenario: Weights that differ from the wanted ones are refused
+    An engine has changed its weights since the request was placed. Its answer would
+    come from another version of the model than the request was routed for.
+
     Given the engine holds the weights "w2"
     When a caller asks for 12 tokens over a relay
     Then the call fails with "TargetRefused", run "no"
@@ -115,7 +121,7 @@
     Given a second engine
     And the engine's next answer shows "CrashAt(<after>)"
     When a caller asks for 12 tokens of a <kind>, to be continued elsewhere
-    Then the caller has the whole answer, numbered without a gap
+    Then the caller has the complete answer, numbered without a gap
     And the usage is 12 tokens
 
     Examples:
@@ -150,7 +156,7 @@
     When a caller asks for 12 tokens over a relay
     And the engine's open connections go silent and 0.5 seconds pass
     And a caller asks for 12 tokens over a relay
-    Then the caller has the whole answer, numbered without a gap
+    Then the caller has the complete answer, numbered without a gap
 
   Scenario: A request that vanished in a dead connection is noticed early
     A pooled connection breaks while it may still be reused. A request sent on it
