--- a/lycheepost/decide/fleetquota.py
+++ b/lycheepost/decide/fleetquota.py
@@ -124,7 +124,7 @@
         Args:
             relay: The daemon that reports to the others what is admitted here.
             n_entry: Number of entry daemons.
-            now_seconds: The present time.
+            now_seconds: The current time.
         """
         if self._peers.needs_relay and relay != self._peers.relay:
             self._restart_counts()
@@ -149,7 +149,7 @@
         Args:
             is_full: Whether to include every customer that has less than its burst
                 left, also where nothing was admitted here.
-            now_seconds: The present time.
+            now_seconds: The current time.
         """
         self._catch_up(now_seconds)
         counts = {
--- a/lycheepost/decide/group.py
+++ b/lycheepost/decide/group.py
@@ -55,29 +55,25 @@
 placing the prefix elsewhere would be too expensive and it would never gain owners."""
 
 COLD_DISCOUNT = 1.0
-"""How much of the allowed wait full pressure takes from a prompt whose shared prefix is
-not cached. Requests that share a prefix (a batch) are then served together while it is
-cached. Without the discount, parts of every batch are served, each prefix is evicted
-between two of its requests, and the engines spend their time recomputing. When too few
-uncached prefixes are admitted, the queue runs empty and the pressure falls."""
+"""Share of the allowed wait that full pressure takes from a prompt whose shared prefix
+is not cached, so that a batch with one prefix is served together. Otherwise parts of
+all batches are served, each prefix is evicted between its requests, and engines mostly
+recompute. If too few such prompts are admitted, the queue empties; pressure falls."""
 
 MAX_COLD_LEAD = -4.0
 """Lead over the fair order, in mean request costs, below which a customer's uncached
 prefixes are admitted under pressure, so that every customer is served eventually."""
 
 ENGINE_WAIT_SHARE = 0.05
-"""Share of the first-token timeout that work may wait inside an engine. Work that waits
-there can no longer be ordered fairly or refused early, but an engine without waiting
-work idles between dispatches."""
+"""Share of the first-token timeout that work may wait inside an engine. It can't be
+ordered fairly or refused early there; without it engines idle between dispatches."""
 
 CROWDED_FULL_SHARE = 0.5
-"""Share of full targets from which the group counts as crowded. Below it the queue
-waits for a few targets, such as the owners of a hot prefix, and refusing new work would
-leave the others idle."""
+"""Share of full targets from which the group counts as crowded. Below it work waits for
+a few, such as a hot prefix's owners, and refusing new work would leave others idle."""
 
 MAX_UNPUBLISHED_PROMPTS = 1_000
-"""Limit of dispatched prompts that are not yet published to peers: about thirty seconds
-of a daemon's traffic, in case nothing collects them."""
+"""Prompts kept for peers if nothing collects them: about 30 s of a daemon's traffic."""
 
 INSIDE_TIMEOUT_SHARE = 0.7
 """Share of its first-token timeout that a customer inside its fair share may wait: it
@@ -140,8 +136,7 @@
         """Return the cost at the group's average cache hit rate.
 
         A prefix whose requests are refused is never cached, so their actual cost is
-        high. If demand were measured by it, the customer's demand would seem to grow
-        and still more requests would be refused.
+        high: demand measured by it would seem to grow, and more would be refused.
         """
         uncached_share = self.placement.rates.uncached_share
         return self._cost_seconds(work, int(work.prompt_tokens * uncached_share))
@@ -201,9 +196,8 @@
     def _has_waited_long(self, waiting: QueuedRequest, now_seconds: float) -> bool:
         """Return whether a request of a customer inside its share waited half its time.
 
-        It waits for the owner of its prefix, which requests of customers over their
-        share keep full. It is then placed without the price of recomputation under
-        pressure.
+        Customers over their share keep the owner of its prefix full, so it is placed
+        without the price of recomputation under pressure.
         """
         halfway = (waiting.enqueued_seconds + waiting.give_up_seconds) / 2
         return now_seconds > halfway and self.shares.is_within_share(
@@ -232,8 +226,7 @@
     def _budget_seconds(self, work: Work, choice: Choice, now_seconds: float) -> float:
         """Return how long from now ``work`` may wait for its first token."""
         if work.excluded:
-            # It is retried because a target failed, not because of load, so it may
-            # use the rest of its caller's timeout.
+            # A target failed it, not the load, so it may use the rest of its timeout.
             elapsed = now_seconds - work.arrived_seconds
             return max(0.0, work.first_token_timeout_seconds - elapsed) / GIVE_UP_SLACK
         if self.shares.is_within_share(work.customer):
@@ -325,12 +318,7 @@
             self.placement.note_holder(placed.levels, placed.target)
 
     def draw_admission(self, n_peers: int, now_seconds: float) -> None:
-        """Draw a share of the targets' free slots if peers have waiting requests, too.
-
-        Args:
-            n_peers: Peers with requests waiting for this group.
-            now_seconds: The current time.
-        """
+        """Draw a share of free slots if ``n_peers`` peers have waiting requests too."""
         is_off = Mechanism.RANDOM_ADMISSION in self._settings.switched_off
         if is_off or not self.n_waiting:
             return
--- a/lycheepost/decide/hotprefixes.py
+++ b/lycheepost/decide/hotprefixes.py
@@ -1,10 +1,10 @@
 """Counts the prefixes that most requests of one daemon share.
 
-A starting target is warmed with the stored blocks of these before it takes traffic.
-Only a bounded number of prefixes is counted, by the space-saving algorithm: a new
-prefix replaces the rarest one and takes over its count. So memory does not grow with
-the prefixes of 990 customers. Counts are halved periodically, so that prefixes that are
-no longer hot are replaced.
+A starting target is warmed with the stored blocks of these prefixes before it takes
+traffic. Only a bounded number of prefixes is counted, by the space-saving algorithm: a
+new prefix replaces the rarest one and takes over its count. So memory does not grow
+with the prefixes of 990 customers. Counts are halved periodically, so that prefixes
+that are no longer hot are replaced.
 """
 
 from dataclasses import dataclass
--- a/lycheepost/decide/notices.py
+++ b/lycheepost/decide/notices.py
@@ -66,7 +66,7 @@
             start: The target start that responded.
             notice: The notice.
             sent_seconds: When the request was sent.
-            now_seconds: The present time.
+            now_seconds: The current time.
             is_sealed: Whether the response carries the target's seal, a header that
                 targets add to their responses. A response without it may be corrupted,
                 so it ends no limit.
--- a/lycheepost/decide/quotameter.py
+++ b/lycheepost/decide/quotameter.py
@@ -232,7 +232,7 @@
         tolerance: How far the fleet may exceed it.
         share: Fraction of it that the reachable daemons may spend.
         age_seconds: Time since the start of this daemon.
-        now_seconds: The present time.
+        now_seconds: The current time.
     """
     start_units = START_TOLERANCE_SHARE * tolerance.of(quota)
     rate, capacity = find_terms(quota, tolerance)
--- a/lycheepost/decide/quotapeers.py
+++ b/lycheepost/decide/quotapeers.py
@@ -11,7 +11,8 @@
 from lycheepost.core.ids import DaemonId
 
 PEER_TIMEOUT_SECONDS = 0.6
-"""A peer is unreachable after this time, that is two heartbeats and a resend."""
+"""A peer that sent no message for this time is unreachable: two heartbeats and a
+resend."""
 
 LINGER_SECONDS = 4.0
 """How long a daemon that is no longer listed may go on serving: a leaving daemon takes
@@ -73,8 +74,9 @@
         is_entry: Whether this is an entry daemon.
         is_standby: Whether this is a standby daemon. Both are False at first, when
             its role is unknown.
-        is_synced: Whether all peers were reachable since this became an entry daemon,
-            or a peer for which this holds has reported its levels.
+        is_synced: Whether its levels include what the whole fleet spent. They do once
+            all peers were reachable at the same time since this became an entry daemon,
+            or once a synced peer has reported its levels.
         relay: The daemon through which a standby daemon reports what it admits.
     """
 
--- a/lycheepost/decide/ratelimits.py
+++ b/lycheepost/decide/ratelimits.py
@@ -71,7 +71,7 @@
             target: The target that responded.
             per_second: The limit; None if the response states none.
             sent_seconds: When its request was sent.
-            now_seconds: The present time.
+            now_seconds: The current time.
 
         Returns:
             Whether the limit has changed.
--- a/lycheepost/decide/requestpacer.py
+++ b/lycheepost/decide/requestpacer.py
@@ -79,7 +79,7 @@
     Args:
         per_second: The limit, for all daemons.
         n_daemons: Daemons that it is divided among.
-        now_seconds: The present time.
+        now_seconds: The current time.
         rng: Draws the first send time.
     """
     pacer = RequestPacer(per_second, n_daemons, now_seconds + INITIAL_PAUSE_SECONDS)
