--- a/features/decide/backlog.feature
+++ b/features/decide/backlog.feature
@@ -18,6 +18,7 @@
     Then at most 27000 tokens were sent to it
 
   Scenario Outline: <sent> tokens sent, <seconds> s later, <first> of them answered: <left> are left
+    Guards against an engine that looks full until the first token, or empty before it.
     Given a backlog of <sent> tokens at a throughput of 50000 tokens a second
     When <seconds> s pass and first tokens have come for <first> of them
     Then <left> tokens are left
--- a/features/decide/decisions.feature
+++ b/features/decide/decisions.feature
@@ -28,6 +28,8 @@
     Then "modest" is among the next 2 that are sent
 
   Scenario: A draining daemon refuses what waits as not run
+    Guards against requests that are lost with the daemon, or that callers can't repeat
+    because they may have run.
     Given a scheduler before 1 targets
     When 20 requests of one customer arrive in one moment
     And the daemon drains
@@ -35,6 +37,7 @@
     And a new request is refused as shutting down
 
   Scenario Outline: A target that is <state> gets no new work
+    Guards against requests that are lost when their target exits.
     Given a scheduler before 2 targets
     When target 0 becomes <state>
     And 10 requests of one customer arrive in one moment
--- a/features/decide/fetched.feature
+++ b/features/decide/fetched.feature
@@ -24,6 +24,8 @@
     Then 500 tokens wait for prefill at the target
 
   Scenario Outline: A fetch <from> takes <us> us a token
+    Guards against waits predicted by a faster link than the slowest on the way, or for
+    another zone.
     Given a store of <store> Mbit/s in zone a for engines of <engine> Mbit/s and 100000 bytes a token
     When a target in zone <zone> fetches
     Then it takes <us> us a token
--- a/features/decide/kvcopies.feature
+++ b/features/decide/kvcopies.feature
@@ -11,12 +11,14 @@
     And every template is kept there
 
   Scenario: A template that the store dropped is sent again
+    Guards against a template that is recomputed for good after it was evicted.
     Given a store that keeps template a
     Then a prompt of template a is not sent
     When the store drops template a
     Then a prompt of template a is sent
 
   Scenario: A store that restarted empty gets everything again
+    Guards against a daemon that trusts what the store held before the restart.
     Given a store that keeps template a
     When the store restarts empty
     Then a prompt of template a is sent
@@ -29,12 +31,14 @@
     Then 4 prompts were sent to the store
 
   Scenario: Text that only one request has is sent for nobody
+    Guards against unique text that evicts shared parts from the store.
     Given a store that reports no events
     When a prompt without a shared part comes
     Then 0 prompts were sent to the store
 
   Scenario: Parts are kept apart by what they are shared within
     The same template under other weights, or of an isolated customer, is another part.
+    Guards against a part that is never stored because another one counts as it.
     Given a store that keeps template a
     When a prompt of template a comes under other weights
     Then 1 prompts were sent to the store
--- a/features/decide/mechanisms.feature
+++ b/features/decide/mechanisms.feature
@@ -1,7 +1,9 @@
 Feature: Mechanisms of the decisions that can be switched off
-  Pure decisions: no network and no clock.
+  Pure decisions: no network and no clock. Guards against a switch without effect, which
+  makes a measurement of its mechanism meaningless.
 
   Scenario Outline: The switch <text> is <outcome>
+    Guards against a misspelled name that silently leaves a mechanism on.
     When mechanisms are switched off by <text>
     Then they are <outcome>
 
--- a/features/decide/randomadmission.feature
+++ b/features/decide/randomadmission.feature
@@ -11,9 +11,11 @@
     And the targets were idle for at most 6 in 100 of the time
 
   Scenario: A daemon whose requests alone wait takes all the room that it sees
+    Guards against free slots that stay unused although nobody else wants them.
     Given 1 daemon that admits at random to 3 free slots with 0 others
     Then it may send 3 requests
 
   Scenario: Random admission divides room evenly in the mean
+    Guards against draws that overfill targets, or leave them idle, on average.
     Given 7 daemons that each admit at random to 2 free slots 700 times
     Then all of them together took the free slots 0.9 to 1.1 times
--- a/features/decide/retries.feature
+++ b/features/decide/retries.feature
@@ -10,6 +10,7 @@
     And 2 of 20 retries a second later are allowed
 
   Scenario: The bound holds over any ten seconds
+    Guards against spans across two counting intervals that allow twice the retries.
     Given a budget of 0.2 of the requests and 6 beyond, in any ten seconds
     When 10 requests a second come for 60 s, each tried again if allowed
     Then no 10 s hold more than 26 retries
@@ -22,12 +23,14 @@
     Then no 40 s hold more than 86 retries
 
   Scenario: Terms that change count from now on
+    Guards against a budget that keeps the terms of its creation.
     Given a budget of 0.2 of the requests and 6 beyond, in any ten seconds
     When 80 requests have come in 8 s
     And the terms become 0 of the requests and 3 beyond
     Then 3 of 20 retries at once are allowed
 
   Scenario: Without requests the budget comes back with time
+    Guards against a quiet group whose requests are never retried again.
     Given a budget of 0.2 of the requests and 6 beyond, in any ten seconds
     When 80 requests have come in 8 s
     And 30 s pass without any
--- a/features/decide/rollout.feature
+++ b/features/decide/rollout.feature
@@ -17,6 +17,7 @@
     Then the 2 targets with the fewest requests are ordered to version 3
 
   Scenario: A single target changes all the same
+    Guards against a share of a small group that is rounded down to no target.
     Given 1 targets with version 1
     When version 2 is named
     Then the 1 targets with the fewest requests are ordered to version 2
@@ -65,6 +66,8 @@
     Then none of them is excluded
 
   Scenario: A target that recovers is used again, one that does not less and less
+    Guards against a dead target that costs requests again and again, and against a
+    recovered one that stays excluded.
     Given 5 healthy targets
     When one more is unreachable whenever it is tried for 30 s
     Then tries number at most 12
--- a/features/decide/routed.feature
+++ b/features/decide/routed.feature
@@ -2,6 +2,7 @@
   Pure decisions: no network and no clock.
 
   Scenario Outline: <path> at <host> with key <key> takes <outcome>
+    Guards against requests served by another route's group, or without a valid key.
     Given routes that share prefixes, one of them public, for two customers
     When a request for <path> at <host> comes with key <key>
     Then its route is <outcome>
@@ -20,11 +21,13 @@
       | b    | /x/1      | k-one   | NO_ROUTE     |
 
   Scenario: Split traffic goes to each group by its weight
+    Guards against a new version's group that gets more traffic than it was given.
     Given a route with groups of weight 90 and 10
     When 1000 evenly spread requests take it
     Then the groups get 900 and 100 of them
 
   Scenario: A group of weight nought gets nothing, whatever the rounding
+    Guards against requests sent to a group that was taken out of service.
     Given a route with five groups of weight 33.3 and one of 0
     When a request at the last point below 1 takes it
     Then it goes to one of the five
@@ -76,6 +79,8 @@
     Then it is refused as not run after 5 attempts
 
   Scenario Outline: A silent target of a <kind> request with <left> s left is left after <seconds> s
+    Guards against a silent target that uses up the time for a second attempt, and
+    against a timeout where no second attempt is allowed.
     Given a <kind> route with at most <most> runs
     When a request has <left> s left and 0 runs
     Then a silent target is given up after <seconds> s
