--- a/features/decide/steps/backlog_steps.py
+++ b/features/decide/steps/backlog_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from features.decide.steps.common import Desk, make_view
+from features.decide.steps.common import SchedulerDriver, make_view
 from lycheepost.decide.backlog import Backlog
 from lycheepost.decide.peerloads import NO_LOAD
 
@@ -21,13 +21,13 @@
         self.tokens_per_second, self.away_seconds = tokens_per_second, away_seconds
         self.waiting, self.answers = [], []
         self.n_idle = self.n_steps = 0
-        self.unread_tokens = []
+        self.unprefilled_tokens = []
 
     def step(self, now_seconds):
         arrived = [item for item in self.waiting if item[2] <= now_seconds]
         self.n_steps += 1
         self.n_idle += not arrived
-        self.unread_tokens.append(sum(item[1] for item in self.waiting))
+        self.unprefilled_tokens.append(sum(item[1] for item in self.waiting))
         budget = self.tokens_per_second * STEP_SECONDS
         while arrived and budget > 0:
             item = arrived[0]
@@ -45,50 +45,52 @@
 )
 def step_target(context, speed, away):
     context.engine = Engine(speed, away / 1000.0)
-    context.desk = Desk(0, admit_wait_share=0.9, prefill_seconds_per_token=1.0 / 45_000)
-    context.desk.views = {0: make_view(0, limit=64)}
-    context.desk.announce()
+    context.driver = SchedulerDriver(
+        0, admit_wait_share=0.9, prefill_seconds_per_token=1.0 / 45_000
+    )
+    context.driver.views = {0: make_view(0, limit=64)}
+    context.driver.announce()
     context.n_tokens = 0
 
 
 def note_sent(context, before, n_tokens):
-    desk, engine = context.desk, context.engine
-    for name in desk.sent.keys() - before:
-        arrives_seconds = desk.now_seconds + engine.away_seconds
+    driver, engine = context.driver, context.engine
+    for name in driver.sent.keys() - before:
+        arrives_seconds = driver.now_seconds + engine.away_seconds
         engine.waiting.append([name, n_tokens, arrives_seconds])
         context.n_tokens += n_tokens
 
 
 @when("prompts of {n_tokens:d} tokens wait for it for {seconds:d} s")
 def step_prompts(context, n_tokens, seconds):
-    desk, engine = context.desk, context.engine
+    driver, engine = context.driver, context.engine
     n_made = 0
     for _ in range(round(seconds / STEP_SECONDS)):
-        before = set(desk.sent)
-        while len(desk.works) - len(desk.sent) - len(desk.refused) < 3:
+        before = set(driver.sent)
+        while len(driver.works) - len(driver.sent) - len(driver.refused) < 3:
             n_made += 1
-            desk.arrive(
+            driver.arrive(
                 f"request-{n_made}",
                 levels=(),
                 prompt_tokens=n_tokens,
                 first_token_timeout_seconds=60.0,
             )
         note_sent(context, before, n_tokens)
-        before = set(desk.sent)
-        desk.scheduler.set_peer_load(*nothing_at(desk))
-        desk.note(desk.scheduler.dispatch_waiting(desk.now_seconds))
+        before = set(driver.sent)
+        driver.scheduler.set_peer_load(*nothing_at(driver))
+        driver.note(driver.scheduler.dispatch_waiting(driver.now_seconds))
         note_sent(context, before, n_tokens)
-        engine.step(desk.now_seconds)
-        due = [item for item in engine.answers if item[1] <= desk.now_seconds]
+        engine.step(driver.now_seconds)
+        due = [item for item in engine.answers if item[1] <= driver.now_seconds]
         engine.answers = [item for item in engine.answers if item not in due]
         for name, _ in due:
-            desk.scheduler.first_token(name, desk.now_seconds, None)
-        desk.now_seconds += STEP_SECONDS
+            driver.scheduler.first_token(name, driver.now_seconds, None)
+        driver.now_seconds += STEP_SECONDS
 
 
-def nothing_at(desk):
+def nothing_at(driver):
     """Return the report of a peer that has no load at the target."""
-    return desk.views[0].target, NO_LOAD, desk.now_seconds
+    return driver.views[0].target, NO_LOAD, driver.now_seconds
 
 
 @then("it was idle for at most {share:d} in 100 of the time")
@@ -98,9 +100,11 @@
 
 
 @then("on average at most {most:d} tokens were sent and not yet prefilled")
-def step_unread(context, most):
-    unread = context.engine.unread_tokens
-    assert sum(unread) / len(unread) <= most, sum(unread) / len(unread)
+def step_unprefilled(context, most):
+    unprefilled = context.engine.unprefilled_tokens
+    assert sum(unprefilled) / len(unprefilled) <= most, sum(unprefilled) / len(
+        unprefilled
+    )
 
 
 @then("at most {most:d} tokens were sent to it")
--- a/features/decide/steps/common.py
+++ b/features/decide/steps/common.py
@@ -70,7 +70,7 @@
     return Work(**(fields | changes))
 
 
-class Desk:
+class SchedulerDriver:
     """Drives a scheduler with virtual time and records where each request went."""
 
     def __init__(self, n_targets, **settings):
--- a/features/decide/steps/entry_steps.py
+++ b/features/decide/steps/entry_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from features.decide.steps.common import Desk, make_view
+from features.decide.steps.common import SchedulerDriver, make_view
 from lycheepost.core.capacity import Capacity
 from lycheepost.core.fleetmember import FleetMember
 from lycheepost.core.ids import AvailabilityZone, DaemonId
@@ -112,54 +112,56 @@
 )
 def step_fleet(context, n, n_targets):
     context.n_targets = n_targets
-    context.desks = [Desk(0) for _ in range(n)]
+    context.drivers = [SchedulerDriver(0) for _ in range(n)]
     context.peers = [PeerLoads() for _ in range(n)]
-    for desk in context.desks:
-        desk.views = {index: make_view(index, limit=64) for index in range(n_targets)}
-        desk.announce()
+    for driver in context.drivers:
+        driver.views = {index: make_view(index, limit=64) for index in range(n_targets)}
+        driver.announce()
 
 
 def send_to_others(context, number):
     """Send one daemon's load and placements to the others."""
-    sender = context.desks[number].scheduler
+    sender = context.drivers[number].scheduler
     loads, placed = sender.under_way(), sender.take_placed()
-    for index, desk in enumerate(context.desks):
+    for index, driver in enumerate(context.drivers):
         if index == number:
             continue
         peers = context.peers[index]
-        peers.observe(DaemonId(str(number)), loads, desk.now_seconds)
-        for view in desk.views.values():
-            load = peers.at(view.target, desk.now_seconds)
-            desk.scheduler.set_peer_load(view.target, load, desk.now_seconds)
+        peers.observe(DaemonId(str(number)), loads, driver.now_seconds)
+        for view in driver.views.values():
+            load = peers.at(view.target, driver.now_seconds)
+            driver.scheduler.set_peer_load(view.target, load, driver.now_seconds)
         for item in placed:
-            desk.scheduler.note_placed(item)
+            driver.scheduler.note_placed(item)
 
 
 @when("each of them gets {count:d} requests, one at a time in turn")
 def step_requests(context, count):
     for index in range(count):
-        for number, desk in enumerate(context.desks):
-            desk.arrive(f"{number}-{index}")
+        for number, driver in enumerate(context.drivers):
+            driver.arrive(f"{number}-{index}")
             send_to_others(context, number)
 
 
 @when("each of them gets {count:d} requests of one album, one at a time in turn")
 def step_album(context, count):
     for index in range(count):
-        for number, desk in enumerate(context.desks):
-            desk.arrive(f"{number}-{index}", body="album")
+        for number, driver in enumerate(context.drivers):
+            driver.arrive(f"{number}-{index}", body="album")
             send_to_others(context, number)
 
 
 @then("at most {n:d} targets have read the album")
 def step_album_targets(context, n):
-    targets = {target for desk in context.desks for target in desk.sent.values()}
+    targets = {target for driver in context.drivers for target in driver.sent.values()}
     assert len(targets) <= n, targets
 
 
 @then("the busiest of all targets has at most {ratio:g} times the mean")
 def step_spread(context, ratio):
-    sent = Counter(target for desk in context.desks for target in desk.sent.values())
+    sent = Counter(
+        target for driver in context.drivers for target in driver.sent.values()
+    )
     mean = sum(sent.values()) / context.n_targets
     assert max(sent.values()) <= ratio * mean, sent
 
--- a/features/decide/steps/faults.py
+++ b/features/decide/steps/faults.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from features.decide.steps.common import Desk, make_view
+from features.decide.steps.common import SchedulerDriver, make_view
 from lycheepost.core.ids import Incarnation, TargetId
 from lycheepost.decide.records import FinishKind, LoadReport, RefusalReason
 
@@ -18,48 +18,48 @@
     "{count:d} requests run on target 0 and one of them crashes every target it runs on"
 )
 def run_on_one(context, count):
-    desk = context.desk
-    others = {key: desk.views[key] for key in desk.views if key != 0}
-    desk.views = {0: desk.views[0]}
-    desk.announce()
+    driver = context.driver
+    others = {key: driver.views[key] for key in driver.views if key != 0}
+    driver.views = {0: driver.views[0]}
+    driver.announce()
     for index in range(count - 1):
-        desk.arrive(f"neighbour-{index}", first_token_timeout_seconds=60.0)
-    desk.arrive(CRASHING, first_token_timeout_seconds=60.0)
-    assert set(desk.sent.values()) == {TARGET_0} and len(desk.sent) == count
-    desk.views.update(others)
-    desk.announce()
+        driver.arrive(f"neighbour-{index}", first_token_timeout_seconds=60.0)
+    driver.arrive(CRASHING, first_token_timeout_seconds=60.0)
+    assert set(driver.sent.values()) == {TARGET_0} and len(driver.sent) == count
+    driver.views.update(others)
+    driver.announce()
     context.reached = Counter()
     context.complete = set()
 
 
 @when("lost requests are retried until nothing changes")
 def retry_lost(context):
-    desk = context.desk
+    driver = context.driver
     for _ in range(50):
-        running = dict(desk.sent)
-        desk.sent.clear()
+        running = dict(driver.sent)
+        driver.sent.clear()
         lost_target = running.get(CRASHING)
         context.reached[CRASHING] += lost_target is not None
         lost = [name for name, target in running.items() if target == lost_target]
         for name in lost:
-            lose(desk, name, lost_target)
+            lose(driver, name, lost_target)
         for name in running:
             if name not in lost:
-                desk.scheduler.first_token(name, desk.now_seconds, None)
+                driver.scheduler.first_token(name, driver.now_seconds, None)
                 kind = FinishKind.COMPLETE
-                desk.note(desk.scheduler.finish(name, desk.now_seconds, kind))
+                driver.note(driver.scheduler.finish(name, driver.now_seconds, kind))
                 context.complete.add(name)
         for name in lost:
-            desk.note(desk.scheduler.retry(desk.works[name], desk.now_seconds))
-        desk.wait(0.5)
+            driver.note(driver.scheduler.retry(driver.works[name], driver.now_seconds))
+        driver.wait(0.5)
 
 
-def lose(desk, name, target):
+def lose(driver, name, target):
     """Finish a request with the loss of its target."""
-    work = desk.works[name]
-    desk.works[name] = replace(work, excluded=work.excluded | {target})
+    work = driver.works[name]
+    driver.works[name] = replace(work, excluded=work.excluded | {target})
     kind = FinishKind.TARGET_LOST
-    desk.note(desk.scheduler.finish(name, desk.now_seconds, kind))
+    driver.note(driver.scheduler.finish(name, driver.now_seconds, kind))
 
 
 @then(
@@ -68,36 +68,36 @@
 )
 def check_crashing(context, count):
     assert context.reached[CRASHING] == count, context.reached
-    assert context.desk.refused[CRASHING].reason is RefusalReason.QUARANTINED
+    assert context.driver.refused[CRASHING].reason is RefusalReason.QUARANTINED
 
 
 @then("its resend is refused as quarantined")
 def check_resend(context):
-    context.desk.arrive("resend", body=CRASHING)
-    assert context.desk.refused["resend"].reason is RefusalReason.QUARANTINED
+    context.driver.arrive("resend", body=CRASHING)
+    assert context.driver.refused["resend"].reason is RefusalReason.QUARANTINED
 
 
 @then("all other requests complete")
 def check_others(context):
-    others = set(context.desk.works) - {CRASHING, "resend"}
+    others = set(context.driver.works) - {CRASHING, "resend"}
     assert context.complete == others, others - context.complete
 
 
 @when("{count:d} requests in turn fail on every target they reach")
 def fail_all(context, count):
-    desk = context.desk
+    driver = context.driver
     context.n_retries = 0
     for index in range(count):
         name = f"request-{index}"
-        desk.arrive(name)
-        while name in desk.sent:
-            target = desk.sent.pop(name)
-            work = desk.works[name]
-            desk.works[name] = replace(work, excluded=work.excluded | {target})
+        driver.arrive(name)
+        while name in driver.sent:
+            target = driver.sent.pop(name)
+            work = driver.works[name]
+            driver.works[name] = replace(work, excluded=work.excluded | {target})
             kind = FinishKind.TARGET_REFUSED
-            desk.note(desk.scheduler.finish(name, desk.now_seconds, kind))
-            desk.note(desk.scheduler.retry(desk.works[name], desk.now_seconds))
-            context.n_retries += name in desk.sent
+            driver.note(driver.scheduler.finish(name, driver.now_seconds, kind))
+            driver.note(driver.scheduler.retry(driver.works[name], driver.now_seconds))
+            context.n_retries += name in driver.sent
     context.n_requests = count
 
 
@@ -107,44 +107,44 @@
 
 
 class Player:
-    """Simulates requests through a desk, on targets that serve one at a time."""
+    """Simulates requests through a scheduler, on targets that serve one at a time."""
 
     SERVICE_SECONDS = 0.02
 
-    def __init__(self, desk):
-        self.desk = desk
+    def __init__(self, driver):
+        self.driver = driver
         self.ending = []
         self.n_sent = 0
         self.free_at = {}
 
     def send(self, body):
         self.n_sent += 1
-        self.desk.arrive(
+        self.driver.arrive(
             f"played-{self.n_sent}", body=body, first_token_timeout_seconds=20.0
         )
 
     def start_sent(self, slowness):
         """Schedule the end of every request that was sent; return their targets."""
-        desk = self.desk
-        targets = list(desk.sent.values())
-        for name, target in desk.sent.items():
+        driver = self.driver
+        targets = list(driver.sent.values())
+        for name, target in driver.sent.items():
             seconds = self.SERVICE_SECONDS * slowness.get(target, 1.0)
-            start = max(desk.now_seconds, self.free_at.get(target, 0.0))
+            start = max(driver.now_seconds, self.free_at.get(target, 0.0))
             self.free_at[target] = start + seconds
             heapq.heappush(self.ending, (start + seconds, name))
-        desk.sent.clear()
+        driver.sent.clear()
         return targets
 
     def run_to(self, end_seconds):
-        desk = self.desk
+        driver = self.driver
         while self.ending and self.ending[0][0] <= end_seconds:
             at_seconds, name = heapq.heappop(self.ending)
-            desk.now_seconds = max(desk.now_seconds, at_seconds)
-            desk.scheduler.first_token(name, desk.now_seconds, None)
+            driver.now_seconds = max(driver.now_seconds, at_seconds)
+            driver.scheduler.first_token(name, driver.now_seconds, None)
             kind = FinishKind.COMPLETE
-            desk.note(desk.scheduler.finish(name, desk.now_seconds, kind))
-        desk.now_seconds = max(desk.now_seconds, end_seconds)
-        desk.note(desk.scheduler.tick(desk.now_seconds))
+            driver.note(driver.scheduler.finish(name, driver.now_seconds, kind))
+        driver.now_seconds = max(driver.now_seconds, end_seconds)
+        driver.note(driver.scheduler.tick(driver.now_seconds))
 
     def play(self, seconds, per_second, slowness, body=None):
         """Return how many requests went to each target."""
@@ -152,7 +152,7 @@
         for _ in range(int(seconds * per_second)):
             self.send(body or f"own-{self.n_sent}")
             targets.update(self.start_sent(slowness))
-            self.run_to(self.desk.now_seconds + 1.0 / per_second)
+            self.run_to(self.driver.now_seconds + 1.0 / per_second)
         return targets
 
 
@@ -160,7 +160,7 @@
     "target 0 takes {times:d} times as long for {seconds:d} seconds and then recovers"
 )
 def play_slow(context, times, seconds):
-    player = Player(context.desk)
+    player = Player(context.driver)
     slowness = {TARGET_0: float(times)}
     player.play(seconds / 2, 20, slowness)
     context.while_slow = player.play(seconds / 2, 20, slowness)
@@ -196,18 +196,18 @@
 
 @when("{count:d} requests run on target 0 and a report counts just these {same:d}")
 def report_own(context, count, same):
-    desk = context.desk
+    driver = context.driver
     for index in range(count):
-        desk.arrive(f"own-{index}")
-    tokens = sum(work.prompt_tokens for work in desk.works.values())
-    desk.wait(1.0)
-    report = make_report(TARGET_0, desk.now_seconds - 0.5, same, tokens, "boot-0-1")
-    desk.scheduler.observe_load(report, desk.now_seconds)
+        driver.arrive(f"own-{index}")
+    tokens = sum(work.prompt_tokens for work in driver.works.values())
+    driver.wait(1.0)
+    report = make_report(TARGET_0, driver.now_seconds - 0.5, same, tokens, "boot-0-1")
+    driver.scheduler.observe_load(report, driver.now_seconds)
 
 
 @then("the estimate for target 0 is {count:d} requests")
 def check_estimate(context, count):
-    status = context.desk.scheduler.status()
+    status = context.driver.scheduler.status()
     target = status["groups"]["engines"]["targets"][TARGET_0]
     assert target["n_estimated"] == count, target
 
@@ -216,29 +216,31 @@
     "{n_daemons:d} schedulers before {n_targets:d} targets"
     " of which 0 reports least load"
 )
-def make_desks(context, n_daemons, n_targets):
-    context.desks = [Desk(n_targets) for _ in range(n_daemons)]
-    for desk in context.desks:
-        for index in desk.views:
-            desk.views[index] = make_view(index, limit=64)
-        desk.announce()
-        for index in desk.views:
+def make_drivers(context, n_daemons, n_targets):
+    context.drivers = [SchedulerDriver(n_targets) for _ in range(n_daemons)]
+    for driver in context.drivers:
+        for index in driver.views:
+            driver.views[index] = make_view(index, limit=64)
+        driver.announce()
+        for index in driver.views:
             busy = 0 if index == 0 else 8
             report = make_report(
                 TargetId(f"target-{index}"), 99.0, busy, busy * 1000, f"boot-{index}-1"
             )
-            desk.scheduler.observe_load(report, desk.now_seconds)
+            driver.scheduler.observe_load(report, driver.now_seconds)
 
 
 @when("each gets {count:d} requests at the same time")
-def fill_desks(context, count):
-    for number, desk in enumerate(context.desks):
+def fill_drivers(context, count):
+    for number, driver in enumerate(context.drivers):
         for index in range(count):
-            desk.arrive(f"daemon-{number}-{index}")
+            driver.arrive(f"daemon-{number}-{index}")
 
 
 @then("target 0 gets at most {most:d} of the {total:d}")
 def check_spread(context, most, total):
-    sent = Counter(target for desk in context.desks for target in desk.sent.values())
+    sent = Counter(
+        target for driver in context.drivers for target in driver.sent.values()
+    )
     assert sum(sent.values()) == total, sent
     assert sent[TARGET_0] <= most, sent
--- a/features/decide/steps/fetched_steps.py
+++ b/features/decide/steps/fetched_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from features.decide.steps.common import Desk
+from features.decide.steps.common import SchedulerDriver
 from lycheepost.core.ids import (
     AvailabilityZone,
     Incarnation,
@@ -30,19 +30,19 @@
 TEMPLATE = PrefixDigest(99)
 
 
-def make_desk(n_targets):
-    desk = Desk(n_targets, prefill_seconds_per_token=25e-6)
-    desk.views = {
+def make_driver(n_targets):
+    driver = SchedulerDriver(n_targets, prefill_seconds_per_token=25e-6)
+    driver.views = {
         index: replace(view, fetch_token_seconds=FETCH_SECONDS, concurrency_limit=64)
-        for index, view in desk.views.items()
+        for index, view in driver.views.items()
     }
-    desk.announce()
-    return desk
+    driver.announce()
+    return driver
 
 
 @given("{n:d} targets, one of which caches a template that {who} keeps")
 def step_cached(context, n, who):
-    context.desk = make_desk(n)
+    context.driver = make_driver(n)
     context.stored_tokens = TEMPLATE_TOKENS if who == "the store" else 0
     event = CacheEvent(
         sequence=1,
@@ -51,14 +51,14 @@
         n_tokens=TEMPLATE_TOKENS,
     )
     context.holder = TargetId("target-0")
-    context.desk.scheduler.observe_cache_events(
-        context.holder, Incarnation("boot-0-1"), (event,), context.desk.now_seconds
+    context.driver.scheduler.observe_cache_events(
+        context.holder, Incarnation("boot-0-1"), (event,), context.driver.now_seconds
     )
 
 
 @given("{n:d} target that caches nothing")
 def step_empty(context, n):
-    context.desk = make_desk(n)
+    context.driver = make_driver(n)
     context.holder = TargetId("target-0")
 
 
@@ -67,7 +67,7 @@
         PrefixLevel(TEMPLATE, TEMPLATE_TOKENS),
         PrefixLevel(PrefixDigest(1000 + index), TEMPLATE_TOKENS + own_tokens),
     )
-    context.desk.arrive(
+    context.driver.arrive(
         f"request-{index}",
         levels=levels,
         prompt_tokens=TEMPLATE_TOKENS + own_tokens,
@@ -79,19 +79,19 @@
 def step_burst(context, n):
     for index in range(n):
         arrive(context, index, OWN_TOKENS, context.stored_tokens)
-        context.desk.now_seconds += 0.2 / n
+        context.driver.now_seconds += 0.2 / n
 
 
 @then("no target got more than {n:d} of them")
 def step_spread(context, n):
-    counts = Counter(context.desk.sent.values())
+    counts = Counter(context.driver.sent.values())
     assert sum(counts.values()) >= 20, counts
     assert max(counts.values()) <= n, counts
 
 
 @then("the target that caches it got {n:d} of them")
 def step_holder(context, n):
-    counts = Counter(context.desk.sent.values())
+    counts = Counter(context.driver.sent.values())
     assert counts[context.holder] == n, counts
 
 
@@ -102,7 +102,7 @@
 
 @then("{n:d} tokens wait for prefill at the target")
 def step_wait(context, n):
-    found = context.desk.scheduler.under_way()[context.holder]
+    found = context.driver.scheduler.under_way()[context.holder]
     assert found.queued_tokens == n, found
 
 
--- a/features/decide/steps/latework_steps.py
+++ b/features/decide/steps/latework_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from features.decide.steps.common import Desk, make_view, make_work
+from features.decide.steps.common import SchedulerDriver, make_view, make_work
 from lycheepost.core.ids import TargetId
 from lycheepost.decide.latework import LateWork
 from lycheepost.decide.queueing import FairQueue
@@ -19,13 +19,13 @@
     """Targets that prefill one prompt after the other, and the first-token waits."""
 
     def __init__(self, n_targets, rate, objective_seconds):
-        self.desk = Desk(
+        self.driver = SchedulerDriver(
             n_targets,
             admit_wait_share=0.9,
             prefill_seconds_per_token=1.0 / rate / PROMPT_TOKENS,
         )
-        self.desk.views = {i: make_view(i, limit=64) for i in range(n_targets)}
-        self.desk.announce()
+        self.driver.views = {i: make_view(i, limit=64) for i in range(n_targets)}
+        self.driver.announce()
         self.objective_seconds = objective_seconds
         self.seconds_each = 1.0 / rate
         self.reading = {TargetId(f"target-{i}"): [] for i in range(n_targets)}
@@ -38,12 +38,12 @@
             if self.rng.random() < per_second * STEP_SECONDS:
                 self.arrive()
             self.prefill()
-            self.desk.wait(STEP_SECONDS)
+            self.driver.wait(STEP_SECONDS)
             self.note_sent()
 
     def arrive(self):
         self.n_arrived += 1
-        self.desk.arrive(
+        self.driver.arrive(
             f"request-{self.n_arrived}",
             levels=(),
             prompt_tokens=PROMPT_TOKENS,
@@ -54,9 +54,9 @@
         self.note_sent()
 
     def note_sent(self):
-        for name in [name for name in self.desk.sent if name not in self.seen]:
+        for name in [name for name in self.driver.sent if name not in self.seen]:
             self.seen.add(name)
-            self.reading[self.desk.sent[name]].append(name)
+            self.reading[self.driver.sent[name]].append(name)
 
     def prefill(self):
         for target, waiting in self.reading.items():
@@ -67,11 +67,11 @@
                 continue
             name = waiting.pop(0)
             self.left[target] = self.seconds_each
-            now_seconds = self.desk.now_seconds
-            self.waits.append(now_seconds - self.desk.works[name].arrived_seconds)
-            scheduler = self.desk.scheduler
+            now_seconds = self.driver.now_seconds
+            self.waits.append(now_seconds - self.driver.works[name].arrived_seconds)
+            scheduler = self.driver.scheduler
             scheduler.first_token(name, now_seconds, None)
-            self.desk.note(scheduler.finish(name, now_seconds, FinishKind.COMPLETE))
+            self.driver.note(scheduler.finish(name, now_seconds, FinishKind.COMPLETE))
 
     def n_on_time(self, objective_seconds):
         return sum(wait <= objective_seconds for wait in self.waits)
--- a/features/decide/steps/mechanisms_steps.py
+++ b/features/decide/steps/mechanisms_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from returns.result import Failure, Success
 
-from features.decide.steps.common import Desk, make_work
+from features.decide.steps.common import SchedulerDriver, make_work
 from lycheepost.core.ids import Incarnation, PrefixDigest
 from lycheepost.decide.kvstorecontents import KvStoreContents
 from lycheepost.decide.mechanisms import Mechanism, names_of, parse_mechanisms
@@ -58,16 +58,18 @@
 
 def count_sent_after_draw(off):
     """Return how many of 20 waiting requests go to a target that is free again."""
-    desk = Desk(1, switched_off=off)
-    desk.views[0] = replace(desk.views[0], cache_tokens=0, concurrency_limit=10)
-    desk.announce()
+    driver = SchedulerDriver(1, switched_off=off)
+    driver.views[0] = replace(driver.views[0], cache_tokens=0, concurrency_limit=10)
+    driver.announce()
     for index in range(30):
-        desk.arrive(f"r-{index}", levels=(), prompt_tokens=0)
-    first = dict(desk.sent)
-    desk.scheduler.draw_admission(lambda _group: 6, desk.now_seconds)
+        driver.arrive(f"r-{index}", levels=(), prompt_tokens=0)
+    first = dict(driver.sent)
+    driver.scheduler.draw_admission(lambda _group: 6, driver.now_seconds)
     for name in first:
-        desk.note(desk.scheduler.finish(name, desk.now_seconds, FinishKind.COMPLETE))
-    return len(desk.sent) - len(first)
+        driver.note(
+            driver.scheduler.finish(name, driver.now_seconds, FinishKind.COMPLETE)
+        )
+    return len(driver.sent) - len(first)
 
 
 @then("a daemon with 6 waiting peers sends all requests for which there are free slots")
@@ -79,10 +81,10 @@
 @then("a request whose objective has passed waits where it was")
 def step_stays(context):
     for off, n_late in ((frozenset(), 1), (context.off, 0)):
-        desk = Desk(1, switched_off=off)
+        driver = SchedulerDriver(1, switched_off=off)
         for index in range(9):
-            work = make_work(f"r-{index}", desk.now_seconds, objective_seconds=0.1)
-            desk.note(desk.scheduler.arrive(work, desk.now_seconds))
-        desk.wait(0.2)
-        (group,) = desk.scheduler.status()["groups"].values()
+            work = make_work(f"r-{index}", driver.now_seconds, objective_seconds=0.1)
+            driver.note(driver.scheduler.arrive(work, driver.now_seconds))
+        driver.wait(0.2)
+        (group,) = driver.scheduler.status()["groups"].values()
         assert (group["n_late"] > 0) == bool(n_late), group
--- a/features/decide/steps/peerloads_steps.py
+++ b/features/decide/steps/peerloads_steps.py
@@ -6,28 +6,28 @@
 
 from behave import given, then, when
 
-from features.decide.steps.common import Desk, make_view
+from features.decide.steps.common import SchedulerDriver, make_view
 from lycheepost.core.ids import DaemonId, TargetId
 from lycheepost.decide.peerloads import NO_LOAD, DaemonLoad, PeerLoads, find_changes
 
 
 @given("{n:d} daemons before {n_targets:d} targets that exchange their load")
 def step_daemons(context, n, n_targets):
-    context.desks = [Desk(n_targets) for _ in range(n)]
+    context.drivers = [SchedulerDriver(n_targets) for _ in range(n)]
     context.peers = [PeerLoads() for _ in range(n)]
-    for desk in context.desks:
-        desk.views = {index: make_view(index, limit=64) for index in range(n_targets)}
-        desk.announce()
+    for driver in context.drivers:
+        driver.views = {index: make_view(index, limit=64) for index in range(n_targets)}
+        driver.announce()
 
 
 def send_load(context, number):
     """Send one daemon's load to the others."""
-    desk = context.desks[number]
-    loads = desk.scheduler.under_way()
+    driver = context.drivers[number]
+    loads = driver.scheduler.under_way()
     for index, peers in enumerate(context.peers):
         if index == number:
             continue
-        other = context.desks[index]
+        other = context.drivers[index]
         peers.observe(DaemonId(str(number)), loads, other.now_seconds)
         totals = peers.totals(other.now_seconds)
         for target in {view.target for view in other.views.values()}:
@@ -39,29 +39,31 @@
 @when("each daemon gets {count:d} requests, one at a time in turn")
 def step_requests(context, count):
     for index in range(count):
-        for number, desk in enumerate(context.desks):
-            desk.arrive(f"{number}-{index}")
+        for number, driver in enumerate(context.drivers):
+            driver.arrive(f"{number}-{index}")
             send_load(context, number)
 
 
 @then("the busiest target has at most {ratio:g} times the mean")
 def step_spread(context, ratio):
-    sent = Counter(target for desk in context.desks for target in desk.sent.values())
-    mean = sum(sent.values()) / len(context.desks[0].views)
+    sent = Counter(
+        target for driver in context.drivers for target in driver.sent.values()
+    )
+    mean = sum(sent.values()) / len(context.drivers[0].views)
     assert max(sent.values()) <= ratio * mean, sent
 
 
 @when("the first daemon has {count:d} requests and dies")
 def step_dies(context, count):
     for index in range(count):
-        context.desks[0].arrive(f"r-{index}")
+        context.drivers[0].arrive(f"r-{index}")
     send_load(context, 0)
-    context.desks[1].now_seconds += 2.0
+    context.drivers[1].now_seconds += 2.0
 
 
 @then("the second counts none of them a moment later")
 def step_none(context):
-    now_seconds = context.desks[1].now_seconds
+    now_seconds = context.drivers[1].now_seconds
     peers = context.peers[1]
     assert not peers.is_known(now_seconds)
     assert peers.at(TargetId("target-0"), now_seconds).n_running == 0
@@ -70,8 +72,8 @@
 def waiting_tokens(context):
     """Return the prompt tokens that wait at each target, of all daemons."""
     waiting = Counter()
-    for desk in context.desks:
-        for target, load in desk.scheduler.under_way().items():
+    for driver in context.drivers:
+        for target, load in driver.scheduler.under_way().items():
             waiting[target] += load.queued_tokens
     return waiting
 
@@ -84,42 +86,42 @@
 
 @then("the rest waits at the daemons")
 def step_rest(context):
-    n_sent = sum(len(desk.sent) for desk in context.desks)
-    n_refused = sum(len(desk.refused) for desk in context.desks)
-    n_asked = sum(len(desk.works) for desk in context.desks)
+    n_sent = sum(len(driver.sent) for driver in context.drivers)
+    n_refused = sum(len(driver.refused) for driver in context.drivers)
+    n_asked = sum(len(driver.works) for driver in context.drivers)
     assert n_sent + n_refused < n_asked, (n_sent, n_refused, n_asked)
 
 
 @when("a target has read all of its prompts")
 def step_read(context):
     context.read = TargetId("target-0")
-    for desk in context.desks:
-        for name, target in desk.sent.items():
+    for driver in context.drivers:
+        for name, target in driver.sent.items():
             if target == context.read:
-                desk.scheduler.first_token(name, desk.now_seconds, None)
-    for number in range(len(context.desks)):
+                driver.scheduler.first_token(name, driver.now_seconds, None)
+    for number in range(len(context.drivers)):
         send_load(context, number)
 
 
 @then("some of what waited goes there at once")
 def step_goes(context):
-    for desk in context.desks:
-        desk.note(desk.scheduler.dispatch_waiting(desk.now_seconds))
+    for driver in context.drivers:
+        driver.note(driver.scheduler.dispatch_waiting(driver.now_seconds))
     assert waiting_tokens(context)[context.read] > 0
 
 
 @given("a daemon before {n:d} targets of which {n_old:d} cost {seconds:g} s more")
 def step_old(context, n, n_old, seconds):
-    context.desk = Desk(n)
+    context.driver = SchedulerDriver(n)
     context.old = [f"target-{index}" for index in range(n_old)]
-    context.desk.views = {
+    context.driver.views = {
         index: replace(
             make_view(index, limit=64),
             penalty_seconds=seconds if index < n_old else 0.0,
         )
         for index in range(n)
     }
-    context.desk.announce()
+    context.driver.announce()
     context.n_asked = 0
 
 
@@ -128,21 +130,21 @@
 def step_gets(context, count):
     for _ in range(count):
         context.n_asked += 1
-        context.desk.arrive(f"request-{context.n_asked}")
+        context.driver.arrive(f"request-{context.n_asked}")
 
 
 def sent_to_old(context):
-    return sum(str(target) in context.old for target in context.desk.sent.values())
+    return sum(str(target) in context.old for target in context.driver.sent.values())
 
 
 @then("those {n:d} get none of them")
 def step_none_old(context, n):
-    assert sent_to_old(context) == 0, context.desk.sent
+    assert sent_to_old(context) == 0, context.driver.sent
 
 
 @then("those {n:d} get some of them")
 def step_some_old(context, n):
-    assert sent_to_old(context) > 0, context.desk.sent
+    assert sent_to_old(context) > 0, context.driver.sent
 
 
 @when("the first daemon's requests come and end for 2 s, and it sends only changes")
--- a/features/decide/steps/quotas_steps.py
+++ b/features/decide/steps/quotas_steps.py
@@ -19,7 +19,7 @@
 CUSTOMER = CustomerId("one")
 STEP_SECONDS = 0.05
 
-BREAKS = {
+GUARD_PATCHES = {
     "counts of the others": [
         mock.patch.object(FleetQuotas, "receive", lambda *_: None),
         mock.patch.object(QuotaPeers, "find_share", lambda *_: 1.0),
@@ -39,8 +39,8 @@
 
 
 @given("daemons without {guard}")
-def step_broken(context, guard):
-    for patch in BREAKS[guard]:
+def step_without_guard(context, guard):
+    for patch in GUARD_PATCHES[guard]:
         patch.start()
         context.add_cleanup(patch.stop)
 
@@ -262,7 +262,7 @@
 @given(
     "{n:d} entry daemons and one on standby, with a customer of {rate:d} units a second"
 )
-def step_standing_by(context, n, rate):
+def step_standby(context, n, rate):
     names = [DaemonId(f"d{index}") for index in range(n)]
     context.fleet = {name: make_quotas(index) for index, name in enumerate(names)}
     context.standby = DaemonId("by")
--- a/features/decide/steps/randomadmission_steps.py
+++ b/features/decide/steps/randomadmission_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from features.decide.steps.common import Desk, make_view
+from features.decide.steps.common import SchedulerDriver, make_view
 from lycheepost.core.ids import DaemonId, TargetId
 from lycheepost.decide.peerloads import PeerLoads
 from lycheepost.decide.randomadmission import RandomAdmission
@@ -20,54 +20,54 @@
     "{n:d} daemons with {count:d} waiting requests each at {n_targets:d} full targets"
 )
 def step_waiting(context, n, count, n_targets):
-    context.desks = [
-        Desk(n_targets, max_tries=6, admit_wait_share=0.9) for _ in range(n)
+    context.drivers = [
+        SchedulerDriver(n_targets, max_tries=6, admit_wait_share=0.9) for _ in range(n)
     ]
     context.peers = [PeerLoads() for _ in range(n)]
     context.order = {TargetId(f"target-{index}"): [] for index in range(n_targets)}
-    for desk in context.desks:
-        desk.views = {index: make_view(index, limit=64) for index in range(n_targets)}
-        desk.announce()
+    for driver in context.drivers:
+        driver.views = {index: make_view(index, limit=64) for index in range(n_targets)}
+        driver.announce()
     for index in range(count):
-        for number, desk in enumerate(context.desks):
-            arrive(context, desk, number, f"{number}-{index}")
+        for number, driver in enumerate(context.drivers):
+            arrive(context, driver, number, f"{number}-{index}")
             exchange_loads(context)
 
 
-def arrive(context, desk, number, name):
-    before = set(desk.sent)
-    desk.arrive(
+def arrive(context, driver, number, name):
+    before = set(driver.sent)
+    driver.arrive(
         name, levels=(), prompt_tokens=PROMPT_TOKENS, first_token_timeout_seconds=60.0
     )
     note_sent(context, number, before)
 
 
 def note_sent(context, number, before):
-    desk = context.desks[number]
-    for name in desk.sent:
+    driver = context.drivers[number]
+    for name in driver.sent:
         if name not in before:
-            context.order[desk.sent[name]].append((number, name))
+            context.order[driver.sent[name]].append((number, name))
 
 
 def exchange_loads(context):
     """Exchange the load of all daemons as of one point in time."""
-    now_seconds = context.desks[0].now_seconds
-    for number, desk in enumerate(context.desks):
-        loads = desk.scheduler.under_way()
+    now_seconds = context.drivers[0].now_seconds
+    for number, driver in enumerate(context.drivers):
+        loads = driver.scheduler.under_way()
         for index, peers in enumerate(context.peers):
             if index != number:
                 peers.observe(DaemonId(str(number)), loads, now_seconds)
-                waiting = desk.scheduler.waiting_groups()
+                waiting = driver.scheduler.waiting_groups()
                 peers.note_waiting(DaemonId(str(number)), waiting)
-    for number, desk in enumerate(context.desks):
-        peers, before = context.peers[number], set(desk.sent)
+    for number, driver in enumerate(context.drivers):
+        peers, before = context.peers[number], set(driver.sent)
         for target in context.order:
             load = peers.at(target, now_seconds)
-            desk.scheduler.set_peer_load(target, load, now_seconds)
-        desk.scheduler.draw_admission(
+            driver.scheduler.set_peer_load(target, load, now_seconds)
+        driver.scheduler.draw_admission(
             lambda group, peers=peers: peers.n_waiting(group, now_seconds), now_seconds
         )
-        desk.note(desk.scheduler.dispatch_waiting(now_seconds))
+        driver.note(driver.scheduler.dispatch_waiting(now_seconds))
         note_sent(context, number, before)
 
 
@@ -84,11 +84,11 @@
             left[target] -= READ_TOKENS_A_SECOND * EXCHANGE_SECONDS
             if waiting and left[target] <= 0:
                 number, name = waiting.pop(0)
-                desk = context.desks[number]
-                desk.scheduler.first_token(name, desk.now_seconds, None)
+                driver = context.drivers[number]
+                driver.scheduler.first_token(name, driver.now_seconds, None)
                 left[target] = PROMPT_TOKENS
-        for desk in context.desks:
-            desk.now_seconds += EXCHANGE_SECONDS
+        for driver in context.drivers:
+            driver.now_seconds += EXCHANGE_SECONDS
         exchange_loads(context)
 
 
--- a/features/decide/steps/ratelimits_steps.py
+++ b/features/decide/steps/ratelimits_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from features.decide.steps.common import Desk, make_work
+from features.decide.steps.common import SchedulerDriver, make_work
 from lycheepost.bench.ratelimits import SCENARIOS, Way, measure_way
 from lycheepost.core.ids import TargetGroupId, TargetId
 from lycheepost.decide.ratelimits import ReportedLimit, TargetLimits
@@ -72,15 +72,15 @@
 
 
 def make_limited(context, n_targets, n_limited, per_second):
-    context.desk = Desk(n_targets)
+    context.driver = SchedulerDriver(n_targets)
     for index in range(n_limited):
         set_limit(context, index, per_second)
 
 
 def set_limit(context, index, per_second):
-    desk = context.desk
+    driver = context.driver
     target = TargetId(f"target-{index}")
-    desk.note(desk.scheduler.set_limit(target, per_second, desk.now_seconds))
+    driver.note(driver.scheduler.set_limit(target, per_second, driver.now_seconds))
 
 
 @given(
@@ -117,24 +117,24 @@
 
 def gets(context, n, seconds, **fields):
     """Let requests arrive evenly; each ends before the next one comes."""
-    desk = context.desk
+    driver = context.driver
     context.longest_seconds = 0.0
     for index in range(n):
         name = f"r-{index}"
-        began_seconds = desk.now_seconds
-        desk.arrive(name, target_group=desk.views[0].target_group, **fields)
-        desk.wait(seconds / n)
-        if name in desk.sent:
-            waited_seconds = wait_of(desk, name) - began_seconds
+        began_seconds = driver.now_seconds
+        driver.arrive(name, target_group=driver.views[0].target_group, **fields)
+        driver.wait(seconds / n)
+        if name in driver.sent:
+            waited_seconds = wait_of(driver, name) - began_seconds
             context.longest_seconds = max(context.longest_seconds, waited_seconds)
             kind = FinishKind.COMPLETE
-            desk.note(desk.scheduler.finish(name, desk.now_seconds, kind))
+            driver.note(driver.scheduler.finish(name, driver.now_seconds, kind))
 
 
-def wait_of(desk, name):
+def wait_of(driver, name):
     """Return when a request was sent."""
-    target = desk.sent[name]
-    for group in desk.scheduler._groups.values():
+    target = driver.sent[name]
+    for group in driver.scheduler._groups.values():
         load = group.placement.loads.get(target)
         if load is not None and name in load.in_flight:
             return load.in_flight[name].dispatched_seconds
@@ -143,39 +143,39 @@
 
 @when("the target moves to another group")
 def step_moves(context):
-    desk = context.desk
-    desk.views = {0: replace(desk.views[0], target_group=TargetGroupId("others"))}
-    desk.announce()
+    driver = context.driver
+    driver.views = {0: replace(driver.views[0], target_group=TargetGroupId("others"))}
+    driver.announce()
 
 
 @then("the first target gets at most {most:d} of them")
 def step_first_gets(context, most):
-    n_sent = sum(target == TARGET for target in context.desk.sent.values())
+    n_sent = sum(target == TARGET for target in context.driver.sent.values())
     assert n_sent <= most, n_sent
 
 
 @then("all of them are sent within 0.1 s")
 def step_all_sent(context):
-    desk = context.desk
-    assert len(desk.sent) == len(desk.works), (desk.sent, desk.refused)
+    driver = context.driver
+    assert len(driver.sent) == len(driver.works), (driver.sent, driver.refused)
     assert context.longest_seconds <= 0.1, context.longest_seconds
 
 
 @then("all of them are refused at once")
 def step_all_refused(context):
-    desk = context.desk
-    assert len(desk.refused) == len(desk.works), (desk.sent, desk.refused)
+    driver = context.driver
+    assert len(driver.refused) == len(driver.works), (driver.sent, driver.refused)
 
 
 @then("each is told to come back when a limit will let it pass")
 def step_retry_time(context):
-    desk = context.desk
-    group = next(iter(desk.scheduler._groups.values()))
+    driver = context.driver
+    group = next(iter(driver.scheduler._groups.values()))
     loads = group.placement.loads.values()
     soonest = min(load.rate_limiter.next_seconds for load in loads)
-    for index, name in enumerate(desk.works):
-        came_seconds = desk.works[name].arrived_seconds
-        wait = desk.refused[name].retry_after_seconds
+    for index, name in enumerate(driver.works):
+        came_seconds = driver.works[name].arrived_seconds
+        wait = driver.refused[name].retry_after_seconds
         assert came_seconds + wait >= min(soonest, came_seconds + 30.0), (index, wait)
 
 
@@ -189,9 +189,9 @@
 
 @given("the first target caches a long prompt that many ask for, while work waits")
 def step_cached(context):
-    desk = context.desk
-    group = next(iter(desk.scheduler._groups.values()))
-    levels = make_work("first", desk.now_seconds, body=LONG_BODY).levels
+    driver = context.driver
+    group = next(iter(driver.scheduler._groups.values()))
+    levels = make_work("first", driver.now_seconds, body=LONG_BODY).levels
     group.placement.loads[TARGET].cache_estimate.add(levels)
     group.placement.pressure = 1.0
 
@@ -202,10 +202,10 @@
 
 
 def back_off(context, index, seconds):
-    desk = context.desk
+    driver = context.driver
     target = TargetId(f"target-{index}")
-    context.backoff_until_seconds = desk.now_seconds + seconds
-    desk.scheduler.back_off(target, context.backoff_until_seconds)
+    context.backoff_until_seconds = driver.now_seconds + seconds
+    driver.scheduler.back_off(target, context.backoff_until_seconds)
 
 
 @given(
@@ -242,24 +242,24 @@
 @when("{seconds:g} s pass")
 @when("{seconds:g} s passes")
 def step_pass(context, seconds):
-    context.desk.wait(seconds)
+    context.driver.wait(seconds)
 
 
 @when("the first target isn't listed for {seconds:g} s")
 def step_not_listed(context, seconds):
-    desk = context.desk
-    view = desk.views.pop(0)
-    desk.announce()
-    desk.wait(seconds)
-    desk.views[0] = view
-    desk.announce()
+    driver = context.driver
+    view = driver.views.pop(0)
+    driver.announce()
+    driver.wait(seconds)
+    driver.views[0] = view
+    driver.announce()
 
 
 @then("each is told to come back when the back-offs are over")
 def step_backoff_time(context):
-    desk = context.desk
-    for name, work in desk.works.items():
-        wait_seconds = desk.refused[name].retry_after_seconds
+    driver = context.driver
+    for name, work in driver.works.items():
+        wait_seconds = driver.refused[name].retry_after_seconds
         until_seconds = work.arrived_seconds + wait_seconds
         assert until_seconds >= context.backoff_until_seconds, (name, wait_seconds)
 
@@ -267,5 +267,5 @@
 @then("it is sent {least_seconds:g} s to {most_seconds:g} s later")
 def step_sent_later(context, least_seconds, most_seconds):
     waited_seconds = context.longest_seconds
-    assert len(context.desk.sent) == 1, context.desk.refused
+    assert len(context.driver.sent) == 1, context.driver.refused
     assert least_seconds <= waited_seconds <= most_seconds, waited_seconds
--- a/features/decide/steps/silence_steps.py
+++ b/features/decide/steps/silence_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from features.decide.steps.common import Desk
+from features.decide.steps.common import SchedulerDriver
 from lycheepost.callers.forwardwork import continued_work
 from lycheepost.callers.relaying import read_with_timeout
 from lycheepost.core.ids import TargetGroupId
@@ -63,33 +63,33 @@
 @given("a request in flight at a silent target while {state}")
 def step_in_flight(context, state):
     n_targets = 1 if state == "there is no other target" else 2
-    desk = context.desk = Desk(n_targets)
+    driver = context.driver = SchedulerDriver(n_targets)
     n_retries = 0.0 if state == "no retry is left" else 64.0
-    desk.scheduler.set_retry_terms(RetryTerms(0.0, n_retries))
-    desk.arrive("silent")
-    context.silent = desk.sent["silent"]
+    driver.scheduler.set_retry_terms(RetryTerms(0.0, n_retries))
+    driver.arrive("silent")
+    context.silent = driver.sent["silent"]
     if state == "no other target has room":
         fill_others(context)
 
 
 def fill_others(context):
-    desk = context.desk
-    for view in desk.views.values():
+    driver = context.driver
+    for view in driver.views.values():
         if view.target != context.silent:
             load = DaemonLoad(queued_tokens=0, n_running=view.concurrency_limit)
-            desk.scheduler.set_peer_load(view.target, load, desk.now_seconds)
+            driver.scheduler.set_peer_load(view.target, load, driver.now_seconds)
 
 
 @given("a budget of one retry")
 def step_one_retry(context):
-    context.desk.scheduler.set_retry_terms(RetryTerms(0.0, 1.0))
+    context.driver.scheduler.set_retry_terms(RetryTerms(0.0, 1.0))
 
 
 @when("it asks for another attempt")
 def step_ask(context):
-    desk = context.desk
-    context.work = replace(desk.works["silent"], excluded=frozenset({context.silent}))
-    context.is_left = desk.scheduler.take_retry(context.work, desk.now_seconds)
+    driver = context.driver
+    context.work = replace(driver.works["silent"], excluded=frozenset({context.silent}))
+    context.is_left = driver.scheduler.take_retry(context.work, driver.now_seconds)
 
 
 @then("its silent target is {outcome}")
@@ -99,23 +99,23 @@
 
 @when("it is sent again with the retry that it took")
 def step_again(context):
-    desk = context.desk
-    desk.scheduler.finish(
-        context.work.request, desk.now_seconds, FinishKind.ANSWER_LOST
+    driver = context.driver
+    driver.scheduler.finish(
+        context.work.request, driver.now_seconds, FinishKind.ANSWER_LOST
     )
-    desk.note(desk.scheduler.retry(context.work, desk.now_seconds, is_free=True))
+    driver.note(driver.scheduler.retry(context.work, driver.now_seconds, is_free=True))
 
 
 @then("it is sent to the other target")
 def step_sent(context):
-    assert context.desk.sent["silent"] != context.silent
+    assert context.driver.sent["silent"] != context.silent
 
 
 @given("a stream of a route whose callers wait 4 s for the next part")
 def step_stream(context):
-    desk = Desk(1)
-    desk.arrive("stream")
-    context.work = desk.works["stream"]
+    driver = SchedulerDriver(1)
+    driver.arrive("stream")
+    context.work = driver.works["stream"]
     context.route = make_stream_route()
 
 
