--- a/features/decide/entry.feature
+++ b/features/decide/entry.feature
@@ -48,7 +48,7 @@
 
   Scenario: Requests spread evenly although no two daemons get the same ones
     Ten daemons each get a request at nearly the same time, repeatedly, before any
-    target has responded.
+    target has responded. Guards against daemons that all choose the same idle target.
     Given 10 daemons before 18 targets that exchange their load and their placements
     When each of them gets 22 requests, one at a time in turn
     Then the busiest of all targets has at most 1.2 times the mean
--- a/features/decide/kvcopies.feature
+++ b/features/decide/kvcopies.feature
@@ -25,7 +25,7 @@
 
   Scenario: A store that tells nothing is sent each part once a second
     Its events are lost or late. A part that was sent within the last second is assumed
-    to be stored.
+    to be stored. Guards against a store that is sent every prompt until it reports.
     Given a store that reports no events
     When prompts of template a come every 0.1 s for 3.05 s
     Then 4 prompts were sent to the store
--- a/features/decide/quotas.feature
+++ b/features/decide/quotas.feature
@@ -144,7 +144,8 @@
 
   Scenario: What a daemon that stands by lets through is counted by all
     Its callers still use an old address. Its relay, the daemon from which it fetches
-    changes, reports to the others what it admits.
+    changes, reports to the others what it admits. Guards against units that no entry
+    daemon counts.
     Given 3 entry daemons and one on standby, with a customer of 10000 units a second
     When the standby daemon admits requests until it refuses one
     Then it admitted at most the share of one unreachable daemon
--- a/features/decide/rollout.feature
+++ b/features/decide/rollout.feature
@@ -9,7 +9,8 @@
     Then the 2 targets with the fewest requests are ordered to version 2
 
   Scenario: A version that was overtaken is never loaded
-    Two targets are loading version 2 when version 3 is named.
+    Two targets are loading version 2 when version 3 is named. Guards against others
+    that load version 2 first, and pause twice.
     Given 6 targets with version 1 of which 2 are changing
     When version 3 is named
     Then no target is ordered
