--- a/features/callers/steps/faults.py
+++ b/features/callers/steps/faults.py
@@ -152,7 +152,7 @@
 
     async def run():
         chats = [asyncio.create_task(chat(context, i, True)) for i in range(n)]
-        await sleep_until(lambda: first.traffic.front.n_open == n)
+        await sleep_until(lambda: first.traffic.caller_api.n_open == n)
         drain = asyncio.create_task(first.drain())
         for _ in range(200):
             if context.urls[0] not in await addresses():
--- a/features/platform/steps/notice_steps.py
+++ b/features/platform/steps/notice_steps.py
@@ -392,7 +392,7 @@
         traffic.notices.note_call(listed, notice)
 
     async def ask_start():
-        return await traffic.front._deps.is_same_incarnation(listed)
+        return await traffic.ingress._deps.is_same_incarnation(listed)
 
     assert context.loop.run_until_complete(ask_start())
 
--- a/features/platform/steps/quota_steps.py
+++ b/features/platform/steps/quota_steps.py
@@ -106,7 +106,7 @@
     daemon = context.deployment.daemons[0]
 
     async def is_counted():
-        text = daemon._components.traffic.front._deps.metrics.text()
+        text = daemon._components.traffic.ingress._deps.metrics.text()
         return f"quota_refused.{FIRST}".encode() in text
 
     context.loop.run_until_complete(context.deployment.until(is_counted))
--- a/lycheepost/app/cachefollow.py
+++ b/lycheepost/app/cachefollow.py
@@ -20,7 +20,7 @@
         port: Requests events.
         dispatcher: Places requests by the cached prefixes of engines.
         targets: The listed engines.
-        copies: Decides what is copied to KV stores.
+        kv_store_contents: Decides what is copied to KV stores.
         may_follow_engines: Whether events of engines are followed as well as those of
             stores.
     """
@@ -30,13 +30,13 @@
         port: CacheEventsPort,
         dispatcher: Dispatcher,
         targets: TargetList,
-        copies: KvStoreContents,
+        kv_store_contents: KvStoreContents,
         may_follow_engines: bool = True,
     ) -> None:
         self._may_follow_engines = may_follow_engines
         self._follows_engines = True
         self._follows_stores = True
-        self._copies = copies
+        self._kv_store_contents = kv_store_contents
         self._watch = CacheWatch(port, self._apply_events)
         self._dispatcher = dispatcher
         self._targets = targets
@@ -88,7 +88,7 @@
         stores: list[str] = []
         if self._follows_stores:
             stores = [store.address for store in self._table.kv_stores]
-        self._copies.keep_only(stores)
+        self._kv_store_contents.keep_only(stores)
         self._watch.follow([*self._engines(self._table), *map(_store_source, stores)])
 
     def _engines(self, table: RouteTable) -> list[CacheSource]:
@@ -106,7 +106,7 @@
         self, source: CacheSource, events: tuple[CacheEvent, ...]
     ) -> None:
         if source.target is None:
-            self._copies.observe(source.address, source.incarnation, events)
+            self._kv_store_contents.observe(source.address, source.incarnation, events)
             return
         self._dispatcher.observe_cache_events(source.target, source.incarnation, events)
 
--- a/lycheepost/app/daemon.py
+++ b/lycheepost/app/daemon.py
@@ -106,17 +106,17 @@
         advice to use another address.
         """
         daemon = self._settings.daemon
-        front = self.traffic.front
-        _log.info("app: draining", n_open=front.n_open)
+        caller_api = self.traffic.caller_api
+        _log.info("app: draining", n_open=caller_api.n_open)
         self.state.members.announce_leaving()
         await asyncio.sleep(daemon.announce_leaving_seconds)
         self.traffic.drain_state.is_draining = True
         try:
             async with asyncio.timeout(daemon.drain_seconds):
-                await front.drain()
+                await caller_api.drain()
         except TimeoutError:
             _log.warning(
-                "app: drain timed out with requests in flight", n_open=front.n_open
+                "app: drain timed out with requests in flight", n_open=caller_api.n_open
             )
         await drain_components(self._components, daemon.drain_seconds)
 
@@ -234,7 +234,7 @@
         "availability_zone": settings.daemon.availability_zone,
         "revision": state.revisions.revision,
         "is_draining": traffic.drain_state.is_draining,
-        "n_open": traffic.front.n_open,
+        "n_open": traffic.caller_api.n_open,
         "configuration": state.revisions.status(),
         "members": members["members"],
         "targets": members["targets"],
@@ -280,7 +280,7 @@
     settings: Settings, traffic: Traffic, operator_routes: list[web.RouteDef]
 ) -> tuple[Listener, Listener]:
     listeners = settings.listeners
-    caller_routes = traffic.front.routes()
+    caller_routes = traffic.caller_api.routes()
     if listeners.operators_on_callers_port:
         caller_routes = [*caller_routes, *operator_routes]
     callers = make_listener(
--- a/lycheepost/app/platformdaemon.py
+++ b/lycheepost/app/platformdaemon.py
@@ -105,7 +105,7 @@
         self.is_leaving = False
         self._components = components
         self._plan = plan
-        self._front = components.traffic.front
+        self._ingress = components.traffic.ingress
         self._lifecycle: list[Component] = [
             components.base.store,
             *components.traffic.components(),
@@ -155,21 +155,21 @@
         grace_seconds = self._components.settings.bounds.grace_seconds
         plan = self._plan or make_leave_plan(grace_seconds)
         self.is_leaving = True
-        self._front.is_leaving = True
-        _log.info("app: draining", n_open=self._front.n_open)
+        self._ingress.is_leaving = True
+        _log.info("app: draining", n_open=self._ingress.n_open)
         await self._components.weights.release()
         leave = start_task(self._components.peers.fleet.drain(), "leave")
         await asyncio.sleep(plan.accept_seconds)
         leave.cancel()
-        self._front.is_closed = True
-        _log.info("app: refusing new requests", n_open=self._front.n_open)
+        self._ingress.is_closed = True
+        _log.info("app: refusing new requests", n_open=self._ingress.n_open)
         try:
             async with asyncio.timeout(plan.finish_seconds):
-                await self._front.drain()
+                await self._ingress.drain()
         except TimeoutError:
             _log.warning(
                 "app: drain timed out with requests in flight",
-                n_open=self._front.n_open,
+                n_open=self._ingress.n_open,
             )
 
     async def reload(self) -> None:
@@ -189,7 +189,7 @@
         page = MetricsPage(metrics, self.status)
         metrics_socket = open_socket(Endpoint(node.host, metrics_port))
         described = (
-            ("clients", self._front.handle, sockets.clients),
+            ("clients", self._ingress.handle, sockets.clients),
             ("readiness", Readiness(self._is_ready).handle, sockets.readiness),
             ("directory", directory.handle, sockets.directory),
             ("metrics", page.handle, metrics_socket),
@@ -294,7 +294,7 @@
             "boot": components.base.boot,
             "is_leaving": self.is_leaving,
             "switched_off": names_of(components.base.switched_off),
-            "n_open": self._front.n_open,
+            "n_open": self._ingress.n_open,
             "configuration": self.routing.status(components.base.clock.now_seconds()),
             "watches": [watch.status() for watch in components.watches],
             "members": components.peers.members.status()["members"],
--- a/lycheepost/app/platformtraffic.py
+++ b/lycheepost/app/platformtraffic.py
@@ -46,7 +46,7 @@
 from lycheepost.targets.forwardcall import ResponseHead
 from lycheepost.utils.metrics import Metrics
 
-CONNECT_SECONDS = 0.25
+CONNECT_TIMEOUT_SECONDS = 0.25
 """Time-out for connecting to a target, which normally takes a few milliseconds. An
 unreachable target never accepts; after this time-out a request can still be served in
 time by another target."""
@@ -66,7 +66,7 @@
 """Number of targets that a request may be sent to before it fails. The route limits how
 many of them may run it."""
 
-ADMIT_SHARE = 0.9
+ADMIT_WAIT_SHARE = 0.9
 """Share of a caller's time-out that a predicted wait may take. Late responses still
 have a third of their value here, and the queues inside the engines are bounded."""
 
@@ -85,7 +85,7 @@
     orders: ServerOrders
     targets: TargetList
     routing: RoutingManager
-    front: ClientIngress
+    ingress: ClientIngress
     cache_events: CacheEventsClient
     caches: CacheFollower
     loads: LoadExchange
@@ -173,7 +173,7 @@
     routing.subscribe(targets.set_table)
     routing.subscribe(caches.set_table)
     routing.subscribe(quotas.set_table)
-    streams = StreamSettings(connect_seconds=CONNECT_SECONDS)
+    streams = StreamSettings(connect_seconds=CONNECT_TIMEOUT_SECONDS)
     client = ForwardClient(streams, ServerDialect())
     orders = ServerOrders(notices.note_call)
 
@@ -211,7 +211,7 @@
         orders=orders,
         targets=targets,
         routing=routing,
-        front=ClientIngress(deps, first_reads),
+        ingress=ClientIngress(deps, first_reads),
         cache_events=cache_events,
         caches=caches,
         loads=loads,
@@ -258,7 +258,7 @@
     return SchedulerSettings(
         switched_off=switched_off,
         max_tries=MAX_TARGETS_PER_REQUEST,
-        admit_wait_share=ADMIT_SHARE,
+        admit_wait_share=ADMIT_WAIT_SHARE,
         prefill_seconds_per_token=PREFILL_SECONDS_PER_TOKEN,
     )
 
--- a/lycheepost/app/quotas.py
+++ b/lycheepost/app/quotas.py
@@ -25,7 +25,7 @@
 LOG_INTERVAL_SECONDS = 1.0
 """Minimum interval between log lines on reachable peers, and between sets of gauges."""
 
-MAX_MEASURED_CUSTOMERS = 32
+MAX_CUSTOMERS_WITH_GAUGES = 32
 """Maximum number of customers with gauges of their own; the first with refused requests
 get them. The limit bounds the metrics, which never drop a name."""
 
@@ -57,7 +57,7 @@
     ) -> None:
         self._get_peers = get_peers
         self._metrics = metrics
-        self._measured: set[CustomerId] = set()
+        self._customers_with_gauges: set[CustomerId] = set()
         self._quotas = quotas
         self._exchange = exchange
         self._clock = clock
@@ -149,9 +149,9 @@
         self._last_logged_seconds = now_seconds
         self._log_share()
         for customer, meter in self._quotas.refused():
-            if len(self._measured) < MAX_MEASURED_CUSTOMERS:
-                self._measured.add(customer)
-            if customer in self._measured:
+            if len(self._customers_with_gauges) < MAX_CUSTOMERS_WITH_GAUGES:
+                self._customers_with_gauges.add(customer)
+            if customer in self._customers_with_gauges:
                 self._metrics.gauge(f"quota_left.{customer}", meter.fleet.level)
                 self._metrics.gauge(f"quota_refused.{customer}", meter.n_refused)
 
--- a/lycheepost/app/traffic.py
+++ b/lycheepost/app/traffic.py
@@ -78,7 +78,7 @@
     control: ControlClient
     observer: TargetObserver
     feed: TargetFeed
-    front: CallerApi
+    caller_api: CallerApi
     drain_state: DrainState
     hot: HotPrefixes
     quotas: QuotaExchange
@@ -93,7 +93,7 @@
             self.dispatcher,
             self.feed,
             self.quotas,
-            self.front,
+            self.caller_api,
         ]
 
 
@@ -129,7 +129,7 @@
         control,
         clock,
         ObserverCallbacks(
-            on_signal=lambda target, sign: on_signal(target, sign),
+            on_signal=lambda target, signal: on_signal(target, signal),
             on_load=dispatcher.observe_load,
             on_events=dispatcher.observe_cache_events,
         ),
@@ -165,15 +165,15 @@
     )
     drain_state = DrainState()
 
-    def on_signal(target: TargetId, sign: TargetSignal) -> None:
-        state.members.observe_target(target, sign, clock.now_seconds())
+    def on_signal(target: TargetId, signal: TargetSignal) -> None:
+        state.members.observe_target(target, signal, clock.now_seconds())
         feed.note_state(target, state.members.target_state(target))
 
     def on_unreachable(target: TargetId) -> None:
-        sign = TargetSignal(
+        signal = TargetSignal(
             SignalSource.CONNECTION, TargetState.GONE, CONNECT_FAILURE_SECONDS
         )
-        state.members.observe_target(target, sign, clock.now_seconds())
+        state.members.observe_target(target, signal, clock.now_seconds())
         feed.feed()
         observer.recheck(target)
 
@@ -196,7 +196,7 @@
         )
 
     hot = HotPrefixes()
-    front = CallerApi(
+    caller_api = CallerApi(
         CallerDeps(
             settings=settings,
             configuration=state.revisions,
@@ -228,7 +228,7 @@
         control=control,
         observer=observer,
         feed=feed,
-        front=front,
+        caller_api=caller_api,
         drain_state=drain_state,
     )
 
--- a/lycheepost/platform/dialect.py
+++ b/lycheepost/platform/dialect.py
@@ -82,17 +82,17 @@
     return answered_id != asked_id
 
 
-def _engine_headers(terms: EngineOptions) -> list[tuple[str, str]]:
+def _engine_headers(options: EngineOptions) -> list[tuple[str, str]]:
     headers = [
-        (names.CACHE_SCOPE, terms.cache_scope),
-        (names.RANK, str(min(terms.rank, names.MAX_RANK))),
+        (names.CACHE_SCOPE, options.cache_scope),
+        (names.RANK, str(min(options.rank, names.MAX_RANK))),
     ]
-    if terms.weights_version:
-        headers.append((names.EXPECTED_WEIGHTS, terms.weights_version))
-    if terms.fetch_from:
-        headers.append((names.FETCH_FROM, terms.fetch_from))
-    if terms.store_to:
-        headers.append((names.STORE_TO, terms.store_to))
+    if options.weights_version:
+        headers.append((names.EXPECTED_WEIGHTS, options.weights_version))
+    if options.fetch_from:
+        headers.append((names.FETCH_FROM, options.fetch_from))
+    if options.store_to:
+        headers.append((names.STORE_TO, options.store_to))
     return headers
 
 
--- a/lycheepost/platform/ingress.py
+++ b/lycheepost/platform/ingress.py
@@ -22,11 +22,11 @@
 from lycheepost.state.initial_reads import InitialReads
 from lycheepost.targets.forwardcall import ResponseHead
 
-UNCONFIGURED_BYTES = 4 * 1024 * 1024
+UNCONFIGURED_MAX_BODY_BYTES = 4 * 1024 * 1024
 """Largest request body while no configuration is known: the configuration's default.
 Nothing runs then; the body is read only so that the response follows the request."""
 
-UNCONFIGURED_SECONDS = 15.0
+UNCONFIGURED_IDLE_TIMEOUT_SECONDS = 15.0
 """Idle time-out of request bodies while no configuration is known."""
 
 FIRST_READS_WAIT_SHARE = 0.3
@@ -48,7 +48,7 @@
 )
 
 
-class ClientSide:
+class ClientConnection:
     """Implements ``callers.forwarddeps.CallerConnection`` over aiohttp.
 
     Args:
@@ -132,9 +132,9 @@
         """Serve one request."""
         self.n_open += 1
         self._idle.clear()
-        side = ClientSide(request, lambda: self.is_leaving)
+        connection = ClientConnection(request, lambda: self.is_leaving)
         try:
-            await self._serve(request, side)
+            await self._serve(request, connection)
         except CallerError as error:
             self._deps.metrics.count(f"errors.{error.code}")
             self._log_error(error, request)
@@ -143,17 +143,19 @@
             _log.info("ingress: client left", request_id=_attempt_id(request))
         except Exception:
             _log.exception("ingress: failed", request_id=_attempt_id(request))
-            if side.response is None:
+            if connection.response is None:
                 return self._error_response(_INTERNAL_ERROR, request)
-            side.abort()
+            connection.abort()
         finally:
             self.n_open -= 1
             if self.n_open == 0:
                 self._idle.set()
         # aiohttp requires a response object also if the connection was aborted.
-        return side.response or web.Response(status=502)
+        return connection.response or web.Response(status=502)
 
-    async def _serve(self, request: web.BaseRequest, side: ClientSide) -> None:
+    async def _serve(
+        self, request: web.BaseRequest, connection: ClientConnection
+    ) -> None:
         arrived_seconds = self._deps.clock.now_seconds()
         if self.is_closed:
             raise leaving()
@@ -163,7 +165,7 @@
         forward_request = decode_request(request, body, arrived_seconds)
         await self._first_reads.wait(_first_reads_wait_seconds(forward_request))
         route_match = identify(self._deps, forward_request)
-        forwarding = Forwarding(self._deps, forward_request, route_match, side)
+        forwarding = Forwarding(self._deps, forward_request, route_match, connection)
         if route_match.route.kind is not RouteKind.NON_IDEMPOTENT:
             await forwarding.run()
             return
@@ -192,13 +194,15 @@
 
     async def _read_body(self, request: web.BaseRequest) -> bytes:
         table = self._deps.routing.table
-        max_bytes = UNCONFIGURED_BYTES if table is None else table.limits.body_bytes
+        max_bytes = (
+            UNCONFIGURED_MAX_BODY_BYTES if table is None else table.limits.body_bytes
+        )
         parts: list[bytes] = []
         n_bytes = request.content_length or 0
         if n_bytes > max_bytes:
             raise _too_large()
         n_bytes = 0
-        idle_seconds = UNCONFIGURED_SECONDS
+        idle_seconds = UNCONFIGURED_IDLE_TIMEOUT_SECONDS
         if table is not None:
             idle_seconds = table.limits.idle_seconds
         try:
