--- a/features/app/commands.feature
+++ b/features/app/commands.feature
@@ -1,6 +1,7 @@
 Feature: The command line tells faults of its input
 
   Scenario Outline: A settings file with faults
+    Guards against a start with invalid settings and errors that name no field.
     Given a settings file that <fault>
     When "settings check" and "serve" read it
     Then both exit with code 2 and name "<path>" and "<reason>"
@@ -19,11 +20,13 @@
       | has a faulty fallback          | fallback_configuration.customers | is not of type        |
 
   Scenario: All faults of a file are told at once
+    Guards against secrets in the output and against reporting one fault per run.
     Given a settings file that has three faults
     When "settings check" and "serve" read it
     Then three faults are reported and no secret is shown
 
   Scenario Outline: The examples are in order
+    Guards against examples that the schema no longer accepts.
     When "settings check" reads examples/<name>.yaml
     Then it exits with code 0
 
@@ -33,11 +36,13 @@
       | mercia  |
 
   Scenario: A port is taken
+    Guards against a daemon that keeps running without its port or ends without a reason.
     Given a settings file whose port is taken
     When "serve" reads it
     Then it exits with code 1 and says why
 
   Scenario: Gauges tell what the status page tells
+    Guards against gauges that are not documented and documented ones that are not sent.
     Given a daemon with a statsd server
     When its gauges are reported
     Then the server got every gauge of docs/METRICS.md and no other
--- a/features/app/processes.feature
+++ b/features/app/processes.feature
@@ -5,6 +5,7 @@
     Given the platform, two engines, a plain service and two daemons as processes
 
   Scenario: A request goes from caller to engine and back
+    Guards against components that work only inside one process.
     When a chat and an order are sent through each daemon
     Then all of them succeed
     And each daemon is one process without children
--- a/features/app/settingswatch.feature
+++ b/features/app/settingswatch.feature
@@ -1,6 +1,7 @@
 Feature: Settings that change while a daemon runs on the platform
 
   Scenario: Bounds are followed, the rest counts from the next start
+    Guards against a new bound that is ignored because another field has changed too.
     Given a settings file of the platform and a watch on it
     When the bound on keys changes to 3000 ms and the zone to "zone-b"
     Then the watch has the bound of 3 s
@@ -39,6 +40,7 @@
       | has ports from last on   |
 
   Scenario: All faults of a settings file are told at once
+    Guards against reporting only the first fault of a file.
     When a settings file has no name, no store and a port that is not a number
     Then all 3 faults are reported
 
--- a/features/platform/demo.feature
+++ b/features/platform/demo.feature
@@ -1,6 +1,7 @@
 Feature: The demo on a model of the platform
 
   Scenario: Mixed traffic with faults and new weights breaks no promise
+    Guards against mixed-up responses, orders that run twice and weights never used.
     When the platform demo runs for 3 s
     Then its audit finds nothing
     And most requests were served, some by the new weights
--- a/features/platform/documents.feature
+++ b/features/platform/documents.feature
@@ -1,6 +1,7 @@
 Feature: What operators and servers write, decoded
 
   Scenario: A configuration becomes routes, groups, keys and stores
+    Guards against fields that are lost, and new fields that make the rest unreadable.
     When a configuration with all fields and some new ones is decoded
     Then its routes, groups, keys and stores match the configuration
 
@@ -34,7 +35,7 @@
       | weights row   | has a version of text     |
 
   Scenario Outline: A server's entry with a start of <start> tells <started>
-    Not all deployments let servers state their start time.
+    Guards against rejecting entries of deployments whose servers state no start time.
     When a server entry with a start of <start> is decoded
     Then its target started at <started>
 
@@ -45,8 +46,8 @@
 
   Scenario: Another writer's entries leave the other servers as they are
     Another program adds rows to the servers' table, overwrites an entry and writes bytes
-    that are not text. A response with such a row used to be discarded completely, so that
-    servers which had left still got requests.
+    that are not text. If a response with such a row were discarded completely, servers
+    that have left would still get requests.
     Given the entries of servers a, b and c are followed
     When one response reports that b leaves and holds unusable rows for c and d
     Then a may be used
@@ -55,10 +56,12 @@
     Then a and c may be used
 
   Scenario: A row of the store whose value cannot be read costs only itself
+    Guards against discarding a complete response for one invalid value.
     When the store responds with a row that is not base64 between two valid ones
     Then three rows are decoded and the middle one is empty
 
   Scenario Outline: Cache events: <wire> becomes <event>
+    Guards against a cache estimate that differs from what the engine keeps.
     When the cache event <wire> is decoded
     Then it is <event>
 
@@ -83,13 +86,14 @@
       | 3,4  | nothing |
 
   Scenario: The digest of a part is the same for a prompt and for an event
+    Guards against cache events that match no prompt, or prompts of another scope.
     When the same part is named by a prompt and by an event of its scope
     Then both have one digest, and another scope has another
 
   Scenario: All that engines keep is read from one after the other
-    All daemons of a large fleet restart behind links of 10 Mbit/s. Each used to read the
-    events of its six engines at once, a quarter of a megabyte each. Calls timed out, were
-    repeated and kept all requests from passing for seconds.
+    All daemons of a large fleet restart behind links of 10 Mbit/s. If each reads the
+    events of its six engines at once, a quarter of a megabyte each, calls time out, are
+    repeated and block all requests for seconds.
     When a daemon begins to follow 6 engines that keep thousands of events
     Then it reads them one after the other, each once
 
--- a/features/platform/failures.feature
+++ b/features/platform/failures.feature
@@ -81,6 +81,7 @@
     Then each time it gets the server's complete response with its seal
 
   Scenario: A client that leaves stops its stream at the server
+    Guards against an engine that keeps generating for a client that has disconnected.
     Given a deployment with 1 daemon
     When a client disconnects in the middle of a long stream
     Then the server soon runs nothing
@@ -95,7 +96,7 @@
 
   Scenario: A stream whose key is taken away in its middle is cut
     Its server aborts the stream, and the key is revoked before another server continues.
-    The daemon used to write the headers of the error into the open stream.
+    Guards against writing the headers of the error into the open stream.
     Given a deployment with 1 daemon
     When a resumable stream breaks off just as its key is revoked
     Then the outcome is cut
--- a/features/platform/fleet.feature
+++ b/features/platform/fleet.feature
@@ -11,11 +11,13 @@
     And the long stream completes before it stops
 
   Scenario: Daemons find each other again after all of them died
+    Guards against new daemons that find only the rows of the dead ones in the store.
     Given a deployment with 2 daemons
     When both daemons are killed and two new ones start
     Then each directory soon names both
 
   Scenario: New weights reach every server once, ordered by one daemon
+    Guards against several daemons that order the same change of a server.
     Given a deployment with 3 daemons
     When version 2 of the weights is requested
     Then all engines soon hold version 2
@@ -23,6 +25,7 @@
     And a stream is served by version 2
 
   Scenario: Weights that were overtaken are skipped
+    Guards against loading versions that a newer one has already replaced.
     Given a deployment with 1 daemon
     When versions 2, 3 and 4 of the weights are requested at once
     Then all engines soon hold version 4
@@ -46,8 +49,8 @@
     Then each directory soon names both
 
   Scenario: A daemon that starts names none that died long ago
-    A VM was lost and its row is still in the store. A daemon that started later read the
-    row and sent callers to the dead address for seconds.
+    A VM was lost and its row is still in the store. Guards against a starting daemon that
+    reads the row and sends callers to the dead address for seconds.
     Given a deployment with 1 daemon
     When another daemon starts while the row of a dead one is in the store
     Then no directory response ever names the dead one
@@ -65,9 +68,9 @@
 
   Scenario: Daemons that wait for the first configuration still know each other
     All daemons start before an operator has written a configuration and tell each other
-    that they cannot serve yet. Each used to treat the others as leaving and to close its
-    links. After the configuration was written no daemon learned that the others serve;
-    each placed its requests and polled the store as if it were the only one.
+    that they cannot serve yet. If each treated the others as leaving and closed its
+    links, no daemon would learn later that the others serve; each would place its
+    requests and poll the store as if it were the only one.
     Given 3 daemons that have waited 2 s for the first configuration
     When the first configuration is written
     Then each directory soon names all 3
--- a/features/platform/quotas.feature
+++ b/features/platform/quotas.feature
@@ -2,6 +2,7 @@
   Real daemons with stand-ins for the platform's store and servers, on loopback.
 
   Scenario Outline: A customer with <written> has <quota>
+    Guards against a quota that is read in the wrong unit, or where there is none.
     When a customer with <written> is decoded
     Then it has <quota>
 
--- a/features/platform/requests.feature
+++ b/features/platform/requests.feature
@@ -2,6 +2,7 @@
   Real daemons with stand-ins for the platform's store and servers, on loopback.
 
   Scenario Outline: A <what> comes back byte for byte, and ran as its client sent it
+    Guards against changes of requests or responses on their way through a daemon.
     Given a deployment with 1 daemon
     When a client asks for a <what>
     Then it gets the server's complete response with its seal
@@ -23,12 +24,14 @@
     Then the server got none of the forged values
 
   Scenario: Cached prompts are kept apart by weights, and by customer where isolated
+    Guards against the use of prompts cached by other weights or by another customer.
     Given a deployment with 1 daemon
     When both customers send the same prompt
     Then the isolated customer's cache scope is its own
     And both requests state the weights version that they expect
 
   Scenario Outline: <what> is answered with <status>
+    Guards against forwarding requests that are invalid, too large or unauthorized.
     Given a deployment with 1 daemon
     When a client sends <what>
     Then it gets status <status> without a seal
@@ -93,6 +96,7 @@
     And keys are no longer confirmed
 
   Scenario: A key that was taken away is refused at once
+    Guards against requests that still run with a revoked key.
     Given a deployment with 1 daemon
     When the key of customer one is revoked
     Then a look-up with that key soon gets status 401
@@ -108,11 +112,13 @@
     Then a look-up soon gets status 200
 
   Scenario: A server that leaves gets nothing new
+    Guards against requests that a leaving server cannot finish.
     Given a deployment with 1 daemon
     When one plain server announces that it leaves
     Then 20 look-ups run on the other one
 
   Scenario: A server that the store no longer lists gets nothing new
+    Guards against requests that are sent to a server that has left.
     Given a deployment with 1 daemon
     When one plain server is removed from the store
     Then 20 look-ups run on the other one
@@ -125,13 +131,14 @@
     Then a look-up is served at once
 
   Scenario: The store forgets its history
+    Guards against a daemon that misses changes which the store no longer keeps.
     Given a deployment with 1 daemon
     When the store drops its history and the key of customer one is revoked
     Then a look-up with that key soon gets status 401
 
   Scenario Outline: A request that comes before the first answer of the store <outcome>
     All daemons restart. Clients that waited to connect send requests some milliseconds
-    before the store has responded, and used to be refused at once.
+    before the store has responded. Guards against refusing these at once.
     Given a deployment whose store takes <seconds> s for each answer
     When a new daemon gets a request as it starts
     Then it <outcome>
--- a/features/platform/steps/fleet_steps.py
+++ b/features/platform/steps/fleet_steps.py
@@ -232,7 +232,7 @@
     context.loop.run_until_complete(poll())
 
 
-def read_states(context):
+def read_beliefs(context):
     """Return each daemon's state, decoded from its status as by the command line."""
     return [
         read_belief(msgspec.json.encode(daemon.status(), enc_hook=str)).unwrap()
@@ -243,7 +243,7 @@
 @then("soon one of them follows the store and the others follow that one")
 def step_followed(context):
     async def is_so():
-        beliefs = read_states(context)
+        beliefs = read_beliefs(context)
         first = [belief for belief in beliefs if belief.source == "store"]
         others = {belief.source for belief in beliefs if belief.source != "store"}
         return len(first) == 1 and others == {first[0].daemon}
@@ -254,14 +254,14 @@
 @then("the states that the daemons report do not differ")
 def step_alike(context):
     async def is_alike():
-        return not find_differences(read_states(context))
+        return not find_differences(read_beliefs(context))
 
     context.loop.run_until_complete(context.deployment.until(is_alike))
 
 
 @when("a new configuration is written")
 def step_configured(context):
-    before = max(belief.configuration for belief in read_states(context))
+    before = max(belief.configuration for belief in read_beliefs(context))
     context.version = before + 3
     document = make_configuration() | {"version": context.version}
     context.deployment.configure(document)
@@ -270,7 +270,7 @@
 @then("all of them soon use it")
 def step_in_force(context):
     async def is_in_force():
-        beliefs = read_states(context)
+        beliefs = read_beliefs(context)
         return all(belief.configuration == context.version for belief in beliefs)
 
     context.loop.run_until_complete(context.deployment.until(is_in_force))
@@ -279,7 +279,7 @@
 @when("the one that follows the store is killed")
 def step_source_killed(context):
     deployment = context.deployment
-    sources = [belief.source for belief in read_states(context)]
+    sources = [belief.source for belief in read_beliefs(context)]
     index = sources.index("store")
     daemon = deployment.daemons.pop(index)
     deployment.nodes.pop(index)
--- a/lycheepost/app/cachefollow.py
+++ b/lycheepost/app/cachefollow.py
@@ -20,7 +20,7 @@
         port: Requests events.
         dispatcher: Places requests by the cached prefixes of engines.
         targets: The listed engines.
-        kv_store_contents: Decides what is copied to KV stores.
+        kv_store_contents: The estimated contents of the KV stores.
         may_follow_engines: Whether events of engines are followed as well as those of
             stores.
     """
--- a/lycheepost/app/daemon.py
+++ b/lycheepost/app/daemon.py
@@ -1,7 +1,8 @@
 """The daemon: wires its components together and runs their life cycle.
 
 ``make_daemon`` builds the components; ``Daemon`` starts, drains and stops them. This
-module makes no routing decisions.
+module makes no routing decisions. On the users' platform ``app.platformdaemon`` takes
+its place.
 """
 
 import asyncio
--- a/lycheepost/app/feed.py
+++ b/lycheepost/app/feed.py
@@ -54,9 +54,10 @@
 class ViewMaker:
     """Makes the views of all targets and caches those of unchanged targets.
 
-    At 12,000 targets making every view takes tens of milliseconds; four times a second
-    that exceeds the CPU budget of all control work. A new revision keeps the records
-    of unchanged targets, so they are compared by identity.
+    At 12,000 targets making every view takes tens of milliseconds. State changes can
+    cause four or more passes a second, which would exceed the CPU budget of all control
+    work. A new revision keeps the records of unchanged targets, so they are compared by
+    identity.
     """
 
     def __init__(self) -> None:
--- a/lycheepost/app/fleettopology.py
+++ b/lycheepost/app/fleettopology.py
@@ -21,8 +21,9 @@
 
     Attributes:
         entry: The entry daemons, whose addresses are published to callers.
-        peers: The daemons that it exchanges load with: the other entry daemons if it
-            is one itself, otherwise none. In a small fleet all known daemons.
+        peers: The daemons that it exchanges load and notices with: the other entry
+            daemons if it is one itself, otherwise none. In a small fleet all known
+            daemons.
         sources: The daemons that it requests store updates from, best first.
     """
 
@@ -73,7 +74,7 @@
 def _find_peers(
     me: Member, known: list[Member], entry: frozenset[DaemonId]
 ) -> tuple[DaemonId, ...]:
-    """Return the daemons that ``me`` sends its load to.
+    """Return the daemons that ``me`` exchanges load and notices with.
 
     In a small fleet these are all known daemons, including those that currently cannot
     serve: they still have requests in flight and will serve again.
--- a/lycheepost/app/platform.py
+++ b/lycheepost/app/platform.py
@@ -1,4 +1,7 @@
-"""Clients of the platform's services."""
+"""Clients of the four services that ``app.daemon`` uses: table, objects, weights, VMs.
+
+The users' platform has a protocol of its own; ``lycheepost.platform`` adapts to it.
+"""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
--- a/lycheepost/app/platformbase.py
+++ b/lycheepost/app/platformbase.py
@@ -17,7 +17,7 @@
 
     Attributes:
         node: The platform's settings for this process.
-        clock: A clock that includes the time of suspension.
+        clock: A clock that includes time spent suspended.
         store: The shared client of the platform's store.
         boot: Id that is unique for each start.
         seed: Seed of all random generators of this start.
--- a/lycheepost/app/platformdaemon.py
+++ b/lycheepost/app/platformdaemon.py
@@ -232,8 +232,8 @@
         )
         if self.is_leaving:
             return
-        # While keys cannot be confirmed, callers sent here would be refused and lose
-        # one of their few attempts.
+        # While keys cannot be confirmed, this daemon refuses requests. A caller that is
+        # sent here would use up one of its few attempts.
         if self._can_check_keys():
             members.announce_live()
         else:
@@ -250,7 +250,7 @@
         )
 
     def _count_retry_shares(self) -> int:
-        """Return the number of daemons that share the fleet's retry budget."""
+        """Return the divisor of the fleet's retry budget for this daemon."""
         members, entry = (
             self._components.peers.members,
             self._components.peers.members.entry(),
@@ -258,7 +258,7 @@
         return count_retry_shares(members.me().daemon, entry, members.n_live())
 
     def _count_limit_shares(self) -> int:
-        """Return the number of daemons that share the rate limits of targets.
+        """Return the divisor of the targets' rate limits for this daemon.
 
         All daemons that aren't gone count: those that cannot reach the store are not
         live but still send requests that need no key.
--- a/lycheepost/app/platformpeers.py
+++ b/lycheepost/app/platformpeers.py
@@ -37,8 +37,9 @@
 
 EXCHANGE_SECONDS = 0.4
 PEER_LINKS = 3
-"""Links of the rings, beside those for load and for store requests. With three a change
-of a target reaches all daemons in few hops, even if some daemons are dead."""
+"""Number of rings of links (see ``peers.neighbours``), in addition to the links for
+load and for store requests. With three rings a change of a target reaches all daemons
+in few hops, even if some daemons are dead."""
 
 MEMBER_POLL_SECONDS = 12.0
 """Poll interval of the member table, which is needed only to discover the first peers:
@@ -53,17 +54,17 @@
 which is as long as a leaving daemon accepts requests."""
 
 SHORT_ADDRESS_SECONDS = 0.25
-"""The same while few daemons can be listed. Four lookups per second and caller cost
-each daemon little, since all daemons serve them."""
+"""``ADDRESS_SECONDS`` while few daemons can be listed. Callers then learn soon of
+daemons that are available again. Four lookups per second and caller cost each daemon
+little, since all daemons serve them."""
 
 WEIGHTS_DUTY = "weights"
 LEASE_SECONDS = 3.6
 LEASE_MARGIN_SECONDS = 1.65
 """A holder may send orders until 1.95 s after its last renewal, the next holder from
 5.25 s on. The gap of 3.3 s exceeds the time that the platform requires between two
-holders' orders to one server. Weights published as their holder dies are in place
-within the ten seconds that the platform allows, with four seconds for the change
-itself."""
+holders' orders to one server. If the holder dies as new weights are published, four of
+the ten seconds that the platform allows are left for the change itself."""
 
 ORDER_GAP_MARGIN_SECONDS = 0.3
 """Added to the time that the platform requires between two holders' orders, for an
@@ -77,8 +78,9 @@
 expires only after five seconds."""
 
 LEASE_POLL_SECONDS = 0.7
-"""Poll interval of the lease for candidates. It is a tenth of the time allowed, at four
-reads per second of the two thousand that the store serves."""
+"""Poll interval of the lease for candidates. It delays a takeover by at most a tenth of
+the time that the platform allows for new weights. All candidates together make some
+four reads per second; the store serves two thousand."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/lycheepost/app/platformtraffic.py
+++ b/lycheepost/app/platformtraffic.py
@@ -67,8 +67,9 @@
 many of them may run it."""
 
 ADMIT_WAIT_SHARE = 0.9
-"""Share of a caller's time-out that a predicted wait may take. Late responses still
-have a third of their value here, and the queues inside the engines are bounded."""
+"""Share of a caller's time-out that a predicted wait may take before the request is
+refused. It is high, as a late response still has a third of its value here and the
+queues inside the engines are bounded."""
 
 PREFILL_SECONDS_PER_TOKEN = 25e-6
 """Prefill time assumed until a target's throughput is known."""
@@ -185,7 +186,7 @@
 
     async def is_same_incarnation(sent_to: ListedTarget) -> bool:
         if notices.is_backed_off(sent_to.target):
-            # It has asked for a pause, and has responded recently.
+            # It has recently responded with its back-off, so it needs no health check.
             return targets.is_newest_start(sent_to.start)
         return await _is_same_start(targets, routing, orders, sent_to)
 
--- a/lycheepost/app/quotas.py
+++ b/lycheepost/app/quotas.py
@@ -26,8 +26,8 @@
 """Minimum interval between log lines on reachable peers, and between sets of gauges."""
 
 MAX_CUSTOMERS_WITH_GAUGES = 32
-"""Maximum number of customers with gauges of their own; the first with refused requests
-get them. The limit bounds the metrics, which never drop a name."""
+"""Only the first customers with refused requests get gauges of their own. The limit
+bounds memory, as metrics never drop a name."""
 
 IDLE_SECONDS = 0.4
 """Interval between checks for quotas while no customer has one."""
--- a/lycheepost/app/ticker.py
+++ b/lycheepost/app/ticker.py
@@ -8,7 +8,7 @@
 from lycheepost.utils.tasks import start_task
 
 REFRESH_SECONDS = 0.2
-"""Maximum delay until a target whose pause has ended is used again."""
+"""Maximum delay until a target is used again after its ejection has ended."""
 
 _log = structlog.get_logger(part="app")
 
@@ -42,6 +42,6 @@
             try:
                 self._on_tick()
             except Exception:
-                # If the task ended, no target would be used again after a pause and
+                # If the task ended, no target would be used again after an ejection and
                 # no change of the members would be applied.
                 _log.exception("app: a tick failed")
--- a/lycheepost/app/traffic.py
+++ b/lycheepost/app/traffic.py
@@ -1,4 +1,4 @@
-"""The components that carry requests: scheduler, target clients, callers' front."""
+"""The components that carry requests: scheduler, target clients, callers' API."""
 
 import asyncio
 import itertools
--- a/lycheepost/app/weightsdue.py
+++ b/lycheepost/app/weightsdue.py
@@ -1,4 +1,4 @@
-"""Notifies starting daemons until when older weights may be served."""
+"""Reports to starting daemons how long older weights may still be served."""
 
 from lycheepost.core.clock import Clock
 from lycheepost.core.ids import DaemonId, ModelId
--- a/lycheepost/platform/dialect.py
+++ b/lycheepost/platform/dialect.py
@@ -139,8 +139,8 @@
 def parse_non_negative(text: str) -> float | None:
     """Return a finite number >= 0; None when ``text`` is not one.
 
-    An invalid value, taken as a limit or pause, would keep all requests from the server
-    for as long as it is sent.
+    An invalid value that was used as a limit or back-off would keep all requests from
+    the server for as long as the server sends it.
     """
     try:
         figure = float(text)
--- a/lycheepost/platform/following.py
+++ b/lycheepost/platform/following.py
@@ -29,8 +29,8 @@
 MAX_UNUSABLE_LOGGED = 200
 """Log lines on unusable entries over the life of a process.
 
-At one unusable entry a second that is three minutes of log lines; the bound keeps a
-faulty writer from filling the log."""
+The bound keeps a faulty writer from filling the log: at one unusable entry a second it
+is reached after three minutes."""
 
 MAX_LOGGED_CHARACTERS = 200
 """Longest logged part of a name or reason, which another writer may have chosen. The
@@ -101,10 +101,11 @@
 class ServerFollower:
     """Passes servers' entries on to the target list.
 
-    Another writer may put a row beside a server's entry or overwrite the entry. Used as
-    an entry, such a row would send requests to an address without a server; an error
-    would discard the complete response. So each row is decoded by itself, and a target
-    with an unusable entry is not used until it has written a valid one.
+    Other programs may add rows to the table or overwrite a server's entry. If such a
+    row were used as an entry, requests would be sent to an address without a server. If
+    it made the entire response fail, the valid rows would be lost as well. So each row
+    is decoded by itself, and a target with an unusable entry is not used until it has
+    written a valid one.
     """
 
     def __init__(self, targets: TargetList) -> None:
--- a/lycheepost/platform/ingress.py
+++ b/lycheepost/platform/ingress.py
@@ -30,8 +30,8 @@
 """Idle time-out of request bodies while no configuration is known."""
 
 FIRST_READS_WAIT_SHARE = 0.3
-"""Share of a request's first-token time-out for which it may wait for the first
-responses of the store after a start; the rest leaves time to try another daemon."""
+"""Share of the caller's time-out for which a request may wait for the first responses
+of the store after a start; the rest leaves time to try another daemon."""
 
 MAX_ADDRESSES = 64
 """Maximum addresses that clients read from one response, by the platform's protocol."""
--- a/lycheepost/platform/models/serverstandin.py
+++ b/lycheepost/platform/models/serverstandin.py
@@ -115,7 +115,7 @@
     Args:
         service: The service that it registers under.
         model: The model that it serves; empty for a plain service.
-        n_events: Initial value of the attribute.
+        n_events: Events of each stream; tests may change the attribute later.
 
     Attributes:
         runs: All requests that it began to run.
--- a/lycheepost/platform/store.py
+++ b/lycheepost/platform/store.py
@@ -53,7 +53,7 @@
 that is a hundred times slower is treated as unavailable."""
 
 KEEPALIVE_SECONDS = 15.0
-"""Connections are used every second or two; a call notices a dead one."""
+"""Connections are used every second or two; a call on a dead one fails."""
 
 LONG_POLL_MARGIN_SECONDS = 0.7
 """Added to the duration of a long poll; after that the connection counts as dead."""
