--- a/features/platform/fleet.feature
+++ b/features/platform/fleet.feature
@@ -67,7 +67,7 @@
     Then soon one of them follows the store and the others follow that one
 
   Scenario: Daemons that wait for the first configuration still know each other
-    All daemons start before an operator has written a configuration and tell each other
+    All daemons start before an operator has written a configuration and report to peers
     that they cannot serve yet. If each treated the others as leaving and closed its
     links, no daemon would learn later that the others serve; each would place its
     requests and poll the store as if it were the only one.
--- a/features/platform/steps/fleet_steps.py
+++ b/features/platform/steps/fleet_steps.py
@@ -13,7 +13,7 @@
 from lycheepost.report.beliefs import find_differences, read_belief
 from lycheepost.state.memberrows import MemberRow
 
-N_LONG = 400
+N_LONG_STREAM_EVENTS = 400
 
 
 @given("{n:d} daemons that have waited {seconds:d} s for the first configuration")
@@ -42,9 +42,9 @@
 def step_stop(context):
     deployment = context.deployment
     for server in deployment.group("llm"):
-        server.n_events = N_LONG
+        server.n_events = N_LONG_STREAM_EVENTS
     _method, path, body = REQUESTS["album stream"]
-    headers = deployment.prompt_headers(**{names.TOKENS: f"150,{N_LONG}"})
+    headers = deployment.prompt_headers(**{names.TOKENS: f"150,{N_LONG_STREAM_EVENTS}"})
 
     async def begin():
         stream = asyncio.ensure_future(deployment.ask("POST", path, headers, body))
@@ -87,7 +87,9 @@
 @then("the long stream completes before it stops")
 def step_whole_stream(context):
     answer = context.loop.run_until_complete(context.stream)
-    expected = b"".join(event_bytes(n, BODY) for n in range(1, N_LONG + 1))
+    expected = b"".join(
+        event_bytes(n, BODY) for n in range(1, N_LONG_STREAM_EVENTS + 1)
+    )
     assert answer.is_whole and answer.body == expected, answer.status
     context.loop.run_until_complete(context.drain)
 
@@ -190,7 +192,7 @@
 
 
 @then("it soon is not ready, and the other's directory names it no longer")
-def step_stepped_back(context):
+def step_cannot_confirm_keys(context):
     deployment = context.deployment
 
     async def is_unready():
@@ -205,13 +207,13 @@
     context.store_client.base = context.address
 
 
-DEAD = "127.0.0.1:9"
+DEAD_ADDRESS = "127.0.0.1:9"
 
 
 @when("another daemon starts while the row of a dead one is in the store")
 def step_dead_row(context):
     deployment = context.deployment
-    row = MemberRow("zone-a", "127.0.0.1", DEAD, "tcp://127.0.0.1:9", "old")
+    row = MemberRow("zone-a", "127.0.0.1", DEAD_ADDRESS, "tcp://127.0.0.1:9", "old")
     store = deployment.store.store
     store.put("lycheepost", "member/front-dead", msgspec.json.encode(row))
     context.loop.run_until_complete(deployment.add_daemon())
@@ -224,7 +226,7 @@
     async def poll():
         for _ in range(60):
             for index in range(2):
-                assert DEAD not in await deployment.addresses(index)
+                assert DEAD_ADDRESS not in await deployment.addresses(index)
             await asyncio.sleep(0.02)
         members = deployment.daemons[1].status()["members"]
         assert "front-dead" in members, "the row was not read"
--- a/features/platform/steps/notice_steps.py
+++ b/features/platform/steps/notice_steps.py
@@ -14,7 +14,7 @@
 from lycheepost.platform.dialect import decode_notice
 
 GRACE_SECONDS = 0.5
-MAX_IN_PAUSE = 2
+MAX_REQUESTS_IN_PAUSE = 2
 N_ALBUMS = 8
 """Number of shared prompt parts; with so many each engine caches some."""
 GROUPS = {"look-ups": "plain", "streams": "llm"}
@@ -214,7 +214,9 @@
     for at in asked:
         since, until = at + GRACE_SECONDS, at + context.pause_seconds
         n = sum(since < arrived <= until for arrived in asked)
-        assert n <= MAX_IN_PAUSE, f"{n} requests in the pause asked for at {at:.3f} s"
+        assert n <= MAX_REQUESTS_IN_PAUSE, (
+            f"{n} requests in the pause asked for at {at:.3f} s"
+        )
 
 
 @then("it serves look-ups again")
--- a/features/platform/steps/request_steps.py
+++ b/features/platform/steps/request_steps.py
@@ -246,7 +246,7 @@
 @when("a raw request with {what} arrives")
 def step_raw(context, what):
     inner = b"GET /look/2 HTTP/1.1\r\nHost: x\r\n\r\n"
-    heads = {
+    headers = {
         "two lengths": b"Content-Length: 4\r\nContent-Length: 40\r\n",
         "a length and chunks": b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
         "a chunk of no number": b"Transfer-Encoding: chunked\r\n",
@@ -256,7 +256,7 @@
         + b"\r\n",
     }
     rest = b"zz\r\n" + inner
-    context.raw = send_raw(context, b"POST /order/1 HTTP/1.1\r\n", heads[what], rest)
+    context.raw = send_raw(context, b"POST /order/1 HTTP/1.1\r\n", headers[what], rest)
 
 
 @then("the response is an error and the connection is closed")
--- a/lycheepost/app/demo.py
+++ b/lycheepost/app/demo.py
@@ -40,6 +40,7 @@
 """Keeps four stand-in engines busy without saturating them, on one core that also
 runs the daemons and the callers."""
 KILL_AFTER_SHARE = 0.4
+"""Share of the run after which one engine crashes."""
 ORDERS_PATH = "orders"
 
 
--- a/lycheepost/app/status.py
+++ b/lycheepost/app/status.py
@@ -12,6 +12,7 @@
 from lycheepost.state.revisions import RevisionManager
 
 UNKNOWN_REVISION = -1
+"""Reported for the other daemons, as member records do not hold their revision."""
 
 
 def fleet_status(
